--- a/packages/customers/src/__tests__/identify.test.ts
+++ b/packages/customers/src/__tests__/identify.test.ts
@@ -1,4 +1,4 @@
-/** Whose request it is, and where it may run. */
+/** Identification of callers and intersection of home regions. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { apiKey, customerName, regionName } from '@cardamomladder/types';
@@ -10,21 +10,27 @@
   keys: keys.map(apiKey),
   homeRegions: [],
 });
-const shown = (key: string): Credentials => ({ kind: 'key', key: apiKey(key) });
+const keyCredentials = (key: string): Credentials => ({ kind: 'key', key: apiKey(key) });
 
-describe('a caller', () => {
+describe('caller identification', () => {
   const table = customerTable([customer('harbour', ['k1', 'k2']), customer('closed', [])]);
 
-  it('is the customer that holds its key, on public routes too', () => {
-    const outcomes = [false, true].map((isPublic) => identify(table, shown('k2'), isPublic));
+  it('returns the customer that the key belongs to, on public routes too', () => {
+    const outcomes = [false, true].map((isPublic) =>
+      identify(table, keyCredentials('k2'), isPublic),
+    );
     expect(outcomes).toEqual([
       { kind: 'customer', customer: expect.objectContaining({ name: 'harbour' }) },
       { kind: 'customer', customer: expect.objectContaining({ name: 'harbour' }) },
     ]);
   });
 
-  it('without a valid key is refused, but for public routes', () => {
-    const credentials: Credentials[] = [shown('k3'), { kind: 'none' }, { kind: 'malformed' }];
+  it('rejects callers without a valid key, except on public routes', () => {
+    const credentials: Credentials[] = [
+      keyCredentials('k3'),
+      { kind: 'none' },
+      { kind: 'malformed' },
+    ];
     expect(credentials.map((c) => identify(table, c, false))).toMatchInlineSnapshot(`
       [
         {
@@ -48,29 +54,29 @@
     ]);
   });
 
-  it('is found alike among ten thousand keys', () => {
+  it('finds the customer among ten thousand keys', () => {
     const many = Array.from({ length: 5000 }, (_, i) => customer(`c${i}`, [`a${i}`, `b${i}`]));
-    const found = customerTable(many);
+    const lookup = customerTable(many);
     fc.assert(
       fc.property(fc.nat(4999), fc.constantFrom('a', 'b'), (i, letter) => {
-        expect(found(apiKey(`${letter}${i}`))?.name).toBe(`c${i}`);
+        expect(lookup(apiKey(`${letter}${i}`))?.name).toBe(`c${i}`);
       }),
     );
   });
 });
 
-describe('home regions of a route and a customer', () => {
+describe('intersection of the home regions of a route and a customer', () => {
   const regions = ['north', 'south', 'east'].map(regionName);
 
-  it('bind both: no region that either forbids is left', () => {
+  it('contains exactly the regions that both allow', () => {
     fc.assert(
-      fc.property(fc.subarray(regions), fc.subarray(regions), (some, others) => {
-        const joint = jointHomes(some, others);
+      fc.property(fc.subarray(regions), fc.subarray(regions), (first, second) => {
+        const common = jointHomes(first, second);
         const allows = (list: readonly string[], region: string) =>
           list.length === 0 || list.includes(region);
         regions.forEach((region) => {
-          const allowed = joint !== 'nowhere' && allows(joint, region);
-          expect(allowed).toBe(allows(some, region) && allows(others, region));
+          const allowed = common !== 'nowhere' && allows(common, region);
+          expect(allowed).toBe(allows(first, region) && allows(second, region));
         });
       }),
     );
--- a/packages/customers/src/customer.ts
+++ b/packages/customers/src/customer.ts
@@ -1,22 +1,22 @@
-/** Customers as the operators configure them. */
+/** Customers as configured by the operators. */
 import type { ApiKey, CustomerName, RegionName } from '@cardamomladder/types';
 
-/** How many requests of one customer the whole fleet takes. */
+/** Request rate limit of one customer across the whole fleet. */
 export interface RateLimit {
   perSecond: number;
-  /** Requests that may come at once beyond the rate. */
+  /** Requests allowed at once beyond the rate. */
   burst: number;
 }
 
-/** A customer, and what the operators set for it. */
+/** A customer and its settings. */
 export interface Customer {
   name: CustomerName;
-  /** Its callers prove themselves with any of these; with none, nobody comes in as it. */
+  /** API keys, any of which authenticates a caller; with none, no caller can authenticate as this customer. */
   keys: readonly ApiKey[];
-  /** 0 is the most urgent; goes before the route's priority. */
+  /** 0 is the most urgent; takes precedence over the route's priority. */
   priority?: number;
-  /** Regions in which its requests may be served; empty: anywhere. */
+  /** Regions in which the customer's requests may be served; empty means any region. */
   homeRegions: readonly RegionName[];
-  /** Unset: no limit. */
+  /** Unset means no limit. */
   limit?: RateLimit;
 }
--- a/packages/customers/src/index.ts
+++ b/packages/customers/src/index.ts
@@ -1,6 +1,6 @@
 export type { Customer, RateLimit } from './customer';
-export type { JointHomes } from './homes';
-export { jointHomes } from './homes';
+export type { HomeRegionIntersection } from './homeRegions';
+export { jointHomes } from './homeRegions';
 export type { Credentials, CustomerTable, Identity } from './identify';
 export { customerTable, identify } from './identify';
 export type { TokenNeed } from './quota/allowance';
