--- a/packages/customers/src/quota/__tests__/quota.test.ts
+++ b/packages/customers/src/quota/__tests__/quota.test.ts
@@ -1,66 +1,69 @@
-/** A limit that holds for the whole fleet, played in virtual time. */
+/** Fleet-wide limits, simulated in virtual time. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import type { InstanceId } from '@cardamomladder/types';
 import { instanceId, regionName } from '@cardamomladder/types';
 import { seeded } from '@cardamomladder/load';
-import type { QuotaPlay } from '../__fixtures__/playedQuota';
-import { PLAYED_CUSTOMER, TOLERANCE, playQuota } from '../__fixtures__/playedQuota';
+import type { QuotaScenario } from '../__fixtures__/quotaSimulation';
+import { SIMULATED_CUSTOMER, TOLERANCE, simulateQuota } from '../__fixtures__/quotaSimulation';
 import {
-  countedTogether,
+  broadcastCounts,
   equalShares,
   lentTokens,
-  lentTokensAtOnce,
-} from '../__fixtures__/sharingWays';
-import { Allowance, WAIT_MOST_MS } from '../allowance';
-import { floorShare } from '../floorShare';
-import { keepersAmong } from '../keeper';
+  lentTokensWithoutWaiting,
+} from '../__fixtures__/sharingStrategies';
+import { LocalQuota, MAX_WAIT_MS } from '../localQuota';
+import { guaranteedShare } from '../guaranteedShare';
+import { selectLenders } from '../lenderSelection';
 import { Lender } from '../lender';
 
 const LARGE = { perSecond: 260, burst: 260 };
 const SMALL = { perSecond: 10, burst: 10 };
-/** From here on the pools are full, ms. */
-const SETTLED = 6000;
+/** Time from which the pools are full, ms. */
+const POOLS_FULL_MS = 6000;
 
-const play = (instances: number, changes: Partial<QuotaPlay>): QuotaPlay => ({
+const scenario = (instances: number, changes: Partial<QuotaScenario>): QuotaScenario => ({
   instances,
   limit: LARGE,
   seconds: 14,
   demand: () => (0.6 * LARGE.perSecond) / instances,
   random: seeded(instances),
-  countedFrom: SETTLED,
+  countedFrom: POOLS_FULL_MS,
   ...changes,
 });
-const hot =
+const overLimit =
   (instances: number, limit = LARGE) =>
   () =>
     (4 * limit.perSecond) / instances;
-const isCutInThree = (one: number, other: number, at: number) =>
+const isPartitionedInThree = (one: number, other: number, at: number) =>
   at > 6000 && at < 11_000 && one % 3 !== other % 3;
 
-describe('a limit of the whole fleet', () => {
+describe('fleet-wide limit', () => {
   it.each([1, 9, 12, 59])(
-    'lets callers within it in that are spread, %i instances',
+    'admits spread-out callers below the limit, %i instances',
     (instances) => {
-      expect(playQuota(play(instances, {}), lentTokens).turnedAwayWithin).toBe(0);
+      expect(simulateQuota(scenario(instances, {}), lentTokens).rejectedWithinLimit).toBe(0);
     },
   );
 
-  it.each([1, 9, 59, 300])('lets callers within it in that crowd, %i instances', (instances) => {
-    const crowd = (index: number) => (index === instances - 1 ? 0.8 * LARGE.perSecond : 0);
-    const crowded = playQuota(play(instances, { demand: crowd }), lentTokens);
-    // Guards against callers turned away below the limit since they crowd at one instance.
-    expect(crowded.turnedAwayWithin).toBe(0);
-  });
+  it.each([1, 9, 59, 300])(
+    'admits callers below the limit at a single instance, %i instances',
+    (instances) => {
+      const concentrated = (index: number) => (index === instances - 1 ? 0.8 * LARGE.perSecond : 0);
+      const result = simulateQuota(scenario(instances, { demand: concentrated }), lentTokens);
+      // Guards against rejections below the limit because all callers use the same instance.
+      expect(result.rejectedWithinLimit).toBe(0);
+    },
+  );
 
-  it('is not overstepped in any window: hot customers, cuts, kills, restarts', () => {
-    // Guards against parts of a fleet that each use the whole limit.
-    const cut = fc.record({
+  it('is not exceeded in any window under overload, partitions, kills and restarts', () => {
+    // Guards against partitions of the fleet that each use the whole limit.
+    const partition = fc.record({
       at: fc.nat(9000),
       forMs: fc.nat(6000),
       modulus: fc.integer({ min: 2, max: 5 }),
     });
-    const down = fc.record({
+    const outage = fc.record({
       at: fc.nat(9000),
       forMs: fc.integer({ min: 100, max: 2000 }),
       modulus: fc.integer({ min: 1, max: 4 }),
@@ -70,27 +73,27 @@
         fc.integer({ min: 1, max: 24 }),
         fc.constantFrom(LARGE, SMALL),
         fc.integer({ min: 1, max: 8 }),
-        fc.array(cut, { maxLength: 3 }),
-        fc.array(down, { maxLength: 4 }),
+        fc.array(partition, { maxLength: 3 }),
+        fc.array(outage, { maxLength: 4 }),
         fc.nat(),
-        (instances, limit, times, cuts, downs, seed) => {
-          const { worstWindow } = playQuota(
-            play(instances, {
+        (instances, limit, times, partitions, outages, seed) => {
+          const { peakWindowRatio } = simulateQuota(
+            scenario(instances, {
               limit,
               demand: (index, at) =>
                 ((index + Math.floor(at / 3000)) % 3 === 0 ? 2 : 0.5) *
                 ((times * limit.perSecond) / instances),
-              isCut: (one, other, at) =>
-                cuts.some(
+              isPartitioned: (one, other, at) =>
+                partitions.some(
                   (c) => at >= c.at && at < c.at + c.forMs && one % c.modulus !== other % c.modulus,
                 ),
               isDown: (index, at) =>
-                downs.some((d) => at >= d.at && at < d.at + d.forMs && index % d.modulus === 0),
+                outages.some((d) => at >= d.at && at < d.at + d.forMs && index % d.modulus === 0),
               random: seeded(seed),
             }),
             lentTokens,
           );
-          expect(worstWindow).toBeLessThanOrEqual(1);
+          expect(peakWindowRatio).toBeLessThanOrEqual(1);
         },
       ),
       { numRuns: 40 },
@@ -101,132 +104,142 @@
     [5, 30],
     [10, 59],
     [16, 59],
-  ])('lets callers of a small customer in, %i a second at %i instances', (perSecond, instances) => {
-    // Guards against requests turned away below the limit where the tokens lie with other instances.
-    const spread = play(instances, {
-      limit: { perSecond, burst: perSecond },
-      demand: () => (0.6 * perSecond) / instances,
-    });
-    const atOnce = playQuota({ ...spread, random: seeded(1) }, lentTokensAtOnce);
-    const waiting = playQuota({ ...spread, random: seeded(1) }, lentTokens);
-    expect(atOnce.turnedAwayWithin).toBeGreaterThan(0.1);
-    expect(waiting.turnedAwayWithin).toBe(0);
-    expect(waiting.longestWait).toBeLessThanOrEqual(WAIT_MOST_MS);
-  });
+  ])(
+    'admits callers of a small customer, %i requests per second at %i instances',
+    (perSecond, instances) => {
+      // Guards against rejections below the limit while other instances hold the tokens.
+      const spread = scenario(instances, {
+        limit: { perSecond, burst: perSecond },
+        demand: () => (0.6 * perSecond) / instances,
+      });
+      const withoutWaiting = simulateQuota(
+        { ...spread, random: seeded(1) },
+        lentTokensWithoutWaiting,
+      );
+      const waiting = simulateQuota({ ...spread, random: seeded(1) }, lentTokens);
+      expect(withoutWaiting.rejectedWithinLimit).toBeGreaterThan(0.1);
+      expect(waiting.rejectedWithinLimit).toBe(0);
+      expect(waiting.longestWaitMs).toBeLessThanOrEqual(MAX_WAIT_MS);
+    },
+  );
 
   it.each([
     [10, 30],
     [40, 59],
   ])(
-    'lets callers in soon after all were killed, %i a second at %i instances',
+    'admits callers soon after all instances were killed, %i requests per second at %i instances',
     (perSecond, instances) => {
-      // Guards against a fleet that starts with tokens for nobody and serves its customers seconds later.
-      const killed = play(instances, {
+      // Guards against a fleet that starts without tokens and rejects its customers for some seconds.
+      const killed = scenario(instances, {
         limit: { perSecond, burst: perSecond },
         demand: () => (0.6 * perSecond) / instances,
         countedFrom: 9000,
         isDown: (_, at) => at > 8000 && at < 9000,
       });
-      const { turnedAwayWithin, worstWindow } = playQuota(killed, lentTokens);
-      expect(turnedAwayWithin).toBeLessThan(0.05);
-      expect(worstWindow).toBeLessThanOrEqual(1);
+      const { rejectedWithinLimit, peakWindowRatio } = simulateQuota(killed, lentTokens);
+      expect(rejectedWithinLimit).toBeLessThan(0.05);
+      expect(peakWindowRatio).toBeLessThanOrEqual(1);
     },
   );
 
-  it('is used up by a hot customer, no matter where its callers are', () => {
-    const { worstWindow } = playQuota(play(12, { demand: hot(12) }), lentTokens);
+  it('is fully available to a customer over its limit, regardless of where its callers are', () => {
+    const { peakWindowRatio } = simulateQuota(scenario(12, { demand: overLimit(12) }), lentTokens);
     const limitItself = (LARGE.perSecond * 5) / ((LARGE.perSecond * 5 + LARGE.burst) * 1.1 + 20);
-    expect(worstWindow).toBeGreaterThan(limitItself);
+    expect(peakWindowRatio).toBeGreaterThan(limitItself);
   });
 
-  it('weighed: equal parts turn a crowd away', () => {
-    const crowd = (index: number) => (index === 0 ? 0.8 * LARGE.perSecond : 0);
-    const { turnedAwayWithin } = playQuota(play(12, { demand: crowd }), equalShares);
-    expect(turnedAwayWithin).toBeGreaterThan(0.5);
+  it('alternative: equal shares reject callers concentrated at one instance', () => {
+    const concentrated = (index: number) => (index === 0 ? 0.8 * LARGE.perSecond : 0);
+    const { rejectedWithinLimit } = simulateQuota(
+      scenario(12, { demand: concentrated }),
+      equalShares,
+    );
+    expect(rejectedWithinLimit).toBeGreaterThan(0.5);
   });
 
-  it('weighed: counting together oversteps the limit when the fleet is cut apart', () => {
-    const way = { demand: hot(12), isCut: isCutInThree };
-    expect(playQuota(play(12, way), countedTogether).worstWindow).toBeGreaterThan(1);
-    expect(playQuota(play(12, way), lentTokens).worstWindow).toBeLessThanOrEqual(1);
+  it('alternative: broadcast counts exceed the limit when the fleet is partitioned', () => {
+    const changes = { demand: overLimit(12), isPartitioned: isPartitionedInThree };
+    expect(simulateQuota(scenario(12, changes), broadcastCounts).peakWindowRatio).toBeGreaterThan(
+      1,
+    );
+    expect(simulateQuota(scenario(12, changes), lentTokens).peakWindowRatio).toBeLessThanOrEqual(1);
   });
 });
 
-describe('an allowance', () => {
-  it('starts empty: a restart is no new burst', () => {
-    const allowance = new Allowance({ perSecond: 10, burst: 10 }, 0);
-    expect(allowance.take(0)).toBe(false);
-    expect(allowance.take(100)).toBe(true);
+describe('local quota', () => {
+  it('starts empty, so that a restart does not allow a new burst', () => {
+    const quota = new LocalQuota({ perSecond: 10, burst: 10 }, 0);
+    expect(quota.take(0)).toBe(false);
+    expect(quota.take(100)).toBe(true);
   });
 
-  describe('a request that finds no token', () => {
+  describe('request that finds no token', () => {
     const setUp = () => {
-      const allowance = new Allowance({ perSecond: 0, burst: 0 }, 0);
+      const quota = new LocalQuota({ perSecond: 0, burst: 0 }, 0);
       const decided: boolean[] = [];
-      const request = (now: number) =>
-        allowance.request((isAdmitted) => decided.push(isAdmitted), now);
-      return { allowance, decided, request };
+      const request = (now: number) => quota.request((isAdmitted) => decided.push(isAdmitted), now);
+      return { quota, decided, request };
     };
 
-    it('waits for the lender, and goes when it lends', () => {
-      const { allowance, decided, request } = setUp();
+    it('waits for the lender and is admitted when it lends a token', () => {
+      const { quota, decided, request } = setUp();
       request(0);
       request(1);
-      expect(allowance.need(1)).toMatchObject({ waiting: 2 });
+      expect(quota.need(1)).toMatchObject({ waiting: 2 });
       expect(decided).toEqual([]);
-      allowance.receive(1, 40);
+      quota.receive(1, 40);
       expect(decided).toEqual([true]);
-      allowance.expire(WAIT_MOST_MS + 1);
+      quota.rejectExpired(MAX_WAIT_MS + 1);
       expect(decided).toEqual([true, false]);
     });
 
-    it('is turned away at once while the lender has nothing, or does not answer', () => {
-      // Guards against requests known to be over the limit that wait all the same.
-      const { allowance, decided, request } = setUp();
+    it('is rejected immediately while the lender has no tokens or does not respond', () => {
+      // Guards against waiting requests that are known to be over the limit.
+      const { quota, decided, request } = setUp();
       request(0);
-      allowance.need(0);
-      allowance.receive(0, 40);
+      quota.need(0);
+      quota.receive(0, 40);
       expect(decided).toEqual([false]);
       request(50);
       expect(decided).toEqual([false, false]);
       request(1000);
       expect(decided).toHaveLength(2);
-      allowance.unanswered(1100);
+      quota.unanswered(1100);
       expect(decided).toEqual([false, false, false]);
     });
   });
 
-  it('tells callers that are turned away together to come back one after another', () => {
-    const allowance = new Allowance({ perSecond: 4, burst: 4 }, 0);
-    allowance.receive(0, 0);
-    const moments = [0, 0, 0].map((now) => allowance.comeBackInMs(now));
-    expect(moments).toEqual([250, 500, 750]);
+  it('spreads the retry delays of callers that are rejected at the same time', () => {
+    const quota = new LocalQuota({ perSecond: 4, burst: 4 }, 0);
+    quota.receive(0, 0);
+    const retryDelays = [0, 0, 0].map((now) => quota.nextRetryAfterMs(now));
+    expect(retryDelays).toEqual([250, 500, 750]);
   });
 
-  it('does not send callers away for seconds before its lender has answered once', () => {
-    // Guards against callers of a small customer that hear "10 s" right after a start.
-    const allowance = new Allowance({ perSecond: 0, burst: 0 }, 0);
-    expect(allowance.take(0)).toBe(false);
-    expect(allowance.comeBackInMs(0)).toBeLessThanOrEqual(300);
+  it('gives short retry delays until the lender has responded for the first time', () => {
+    // Guards against a retry delay of 10 s for a small customer's callers right after a start.
+    const quota = new LocalQuota({ perSecond: 0, burst: 0 }, 0);
+    expect(quota.take(0)).toBe(false);
+    expect(quota.nextRetryAfterMs(0)).toBeLessThanOrEqual(300);
   });
 
-  it('forgets lent tokens when the lender has long been silent', () => {
-    // Guards against a cut-off instance that spends what the lender has lent again.
-    const allowance = new Allowance({ perSecond: 0, burst: 0 }, 0);
-    allowance.receive(5, 0);
-    expect(allowance.take(3900)).toBe(true);
-    expect(allowance.take(4100)).toBe(false);
+  it('expires lent tokens when the lender has not responded for a long time', () => {
+    // Guards against an instance that is cut off and uses tokens that the lender has lent again.
+    const quota = new LocalQuota({ perSecond: 0, burst: 0 }, 0);
+    quota.receive(5, 0);
+    expect(quota.take(3900)).toBe(true);
+    expect(quota.take(4100)).toBe(false);
   });
 
-  it('takes a token back whose request did not run', () => {
-    const allowance = new Allowance({ perSecond: 1, burst: 1 }, 0);
-    expect(allowance.take(1000)).toBe(true);
-    allowance.putBack(1000);
-    expect(allowance.take(1000)).toBe(true);
+  it('returns the token of a request that was not executed', () => {
+    const quota = new LocalQuota({ perSecond: 1, burst: 1 }, 0);
+    expect(quota.take(1000)).toBe(true);
+    quota.refund(1000);
+    expect(quota.take(1000)).toBe(true);
   });
 });
 
-describe('the instances that lend', () => {
+describe('lender selection', () => {
   const fleet = ['a', 'b', 'c'].flatMap((region) =>
     Array.from({ length: 4 }, (_, i) => ({
       id: instanceId(`${region}-${i}`),
@@ -234,37 +247,39 @@
     })),
   );
 
-  it('are one of each region, the same in whatever order instances register', () => {
+  it('selects one lender per region, regardless of the order of registration', () => {
     // Guards against lenders that change with each registration after a restart of the whole fleet.
-    const keepers = keepersAmong(fleet);
-    expect(keepers.map(({ region }) => region)).toEqual(['a', 'b', 'c']);
+    const lenders = selectLenders(fleet);
+    expect(lenders.map(({ region }) => region)).toEqual(['a', 'b', 'c']);
     fc.assert(
       fc.property(fc.shuffledSubarray(fleet, { minLength: fleet.length }), (shuffled) => {
-        expect(keepersAmong(shuffled)).toEqual(keepers);
+        expect(selectLenders(shuffled)).toEqual(lenders);
       }),
     );
   });
 
-  it('are replaced alone when one goes', () => {
-    const [first, ...others] = keepersAmong(fleet);
-    const changed = keepersAmong(fleet.filter(({ id }) => id !== first.id));
+  it('replaces only the lender that is lost', () => {
+    const [first, ...others] = selectLenders(fleet);
+    const changed = selectLenders(fleet.filter(({ id }) => id !== first.id));
     expect(changed.slice(1)).toEqual(others);
     expect(changed[0].region).toBe(first.region);
   });
 });
 
-describe('even shares', () => {
+describe('guaranteed shares', () => {
   const ids = Array.from({ length: 40 }, (_, i) => instanceId(`i-${i}`));
 
-  it('sum to the whole at most, and none is below one token', () => {
+  it('add up to at most the whole, and none is below one token', () => {
     fc.assert(
       fc.property(
         fc.double({ min: 0.1, max: 100, noNaN: true }),
         fc.integer({ min: 1, max: 40 }),
         (burst, size) => {
-          const floor = { perSecond: burst, burst };
-          const holders = ids.slice(0, size);
-          const shares = holders.map((id) => floorShare(PLAYED_CUSTOMER, floor, id, holders, size));
+          const guaranteed = { perSecond: burst, burst };
+          const instances = ids.slice(0, size);
+          const shares = instances.map((id) =>
+            guaranteedShare(SIMULATED_CUSTOMER, guaranteed, id, instances, size),
+          );
           const total = shares.reduce((sum, share) => sum + share.burst, 0);
           expect(total).toBeLessThanOrEqual(burst * 1.000001);
           if (burst >= 1)
@@ -275,28 +290,28 @@
   });
 });
 
-describe('a lender', () => {
-  const customer = { name: PLAYED_CUSTOMER, keys: [], homeRegions: [], limit: LARGE };
+describe('lender', () => {
+  const customer = { name: SIMULATED_CUSTOMER, keys: [], homeRegions: [], limit: LARGE };
   const borrower = instanceId('b');
   const need = { stock: 0, back: 0, shareUsed: 0, demand: 10, waiting: 0 };
 
-  it('lends the part of the limit that goes with the instances in touch with it', () => {
-    // Guards against two lenders on both sides of a cut that each lend the whole limit.
+  it('lends the fraction of the limit that corresponds to the instances in contact with it', () => {
+    // Guards against two lenders, one on each side of a partition, that each lend the whole limit.
     let now = 0;
     const ids = Array.from({ length: 12 }, (_, i) => instanceId(`i-${i}`));
     const lenderOn = (side: readonly InstanceId[]) => {
       const lender = new Lender({
         self: side[0],
         tolerance: TOLERANCE,
-        isKeeper: () => true,
-        holders: () => ({ ids, size: ids.length }),
+        isLender: () => true,
+        sharers: () => ({ ids, size: ids.length }),
         startedAt: 0,
         now: () => now,
       });
       lender.configure([customer]);
       return () => {
-        side.forEach((id) => lender.hear(id));
-        return lender.lend(PLAYED_CUSTOMER, side[1], need) ?? 0;
+        side.forEach((id) => lender.recordContact(id));
+        return lender.lend(SIMULATED_CUSTOMER, side[1], need) ?? 0;
       };
     };
     const sides = [lenderOn(ids.slice(0, 4)), lenderOn(ids.slice(4))];
@@ -305,25 +320,26 @@
       sides.forEach((lend, side) => {
         lent[side] += lend();
       });
-    const whole = (LARGE.perSecond * 20 + LARGE.burst) * (1 + TOLERANCE.overage) + TOLERANCE.slack;
-    expect(lent[0] + lent[1]).toBeLessThanOrEqual(whole);
+    const maxTolerated =
+      (LARGE.perSecond * 20 + LARGE.burst) * (1 + TOLERANCE.overage) + TOLERANCE.slack;
+    expect(lent[0] + lent[1]).toBeLessThanOrEqual(maxTolerated);
     expect(lent[0] / lent[1]).toBeCloseTo(0.5, 1);
   });
 
-  it('lends nothing of a customer that another instance keeps', () => {
-    let isKeeper = true;
+  it('lends nothing for a customer of another lender', () => {
+    let isLender = true;
     const lender = new Lender({
       self: borrower,
       tolerance: TOLERANCE,
-      isKeeper: () => isKeeper,
-      holders: () => ({ ids: [borrower], size: 1 }),
+      isLender: () => isLender,
+      sharers: () => ({ ids: [borrower], size: 1 }),
       startedAt: 5000,
       now: () => 5000,
     });
     lender.configure([customer]);
-    expect(lender.lend(PLAYED_CUSTOMER, borrower, need)).toBeGreaterThan(0);
-    isKeeper = false;
-    lender.review();
-    expect(lender.lend(PLAYED_CUSTOMER, borrower, need)).toBeUndefined();
+    expect(lender.lend(SIMULATED_CUSTOMER, borrower, need)).toBeGreaterThan(0);
+    isLender = false;
+    lender.updatePools();
+    expect(lender.lend(SIMULATED_CUSTOMER, borrower, need)).toBeUndefined();
   });
 });
--- a/packages/customers/src/quota/quotaParts.ts
+++ b/packages/customers/src/quota/quotaParts.ts
@@ -1,66 +1,75 @@
 /**
- * How a customer's limit is divided over the fleet.
+ * Divides a customer's limit across the fleet.
  *
- * The load this answers: a limit that holds for all instances together, in any
- * span of time, while instances are cut apart, killed and started anew. A small
- * part is spread evenly over the instances that take callers and needs no word
- * of anybody; all of the limit is lent by one instance to those that have the
- * customer's callers, less what is used of the even parts. Whoever is cut off
- * keeps its even part and the tokens it holds; what is tolerated beyond the
- * limit covers that.
+ * The limit must hold for all instances together in any time window, also while
+ * instances are partitioned, killed and restarted. A small guaranteed part is
+ * divided evenly among the instances that callers are sent to and is used
+ * without coordination. One instance lends tokens for the whole limit, less
+ * what is used of the guaranteed part, to the instances that have the
+ * customer's callers. An instance that is cut off keeps its guaranteed share
+ * and the tokens it holds; the tolerance beyond the limit covers these.
  */
 import type { RateLimit } from '../customer';
 
-/** What the operators tolerate beyond a limit in any span of this length. */
+/** Requests tolerated beyond a limit in any window of `windowMs`, as configured by the operators. */
 export interface QuotaTolerance {
   windowMs: number;
-  /** Part of the limit. */
+  /** Fraction of the limit. */
   overage: number;
-  /** Requests besides. */
+  /** Additional requests, independent of the limit. */
   slack: number;
 }
 
-/** A limit's parts, each for the fleet as a whole. */
+/** The parts of a limit, each for the whole fleet. */
 export interface QuotaParts {
-  /** Spread evenly. */
-  floor: RateLimit;
-  /** Lent to those that need it; what is used of the even parts is taken from it. */
+  /** Divided evenly among the instances. */
+  guaranteed: RateLimit;
+  /** Lent on demand; tokens used from the guaranteed shares are deducted from it. */
   pool: RateLimit;
-  /** Tokens that the lent part begins with after a start; what was used before is not known. */
-  poolAtStart: number;
-  /** Most requests that the lent part may let through in one window. */
-  poolMost: number;
+  /** Tokens in the pool after a start, when earlier use is not known. */
+  initialPoolTokens: number;
+  /** Maximum number of requests that the pool may admit in one window. */
+  maxPoolPerWindow: number;
 }
 
-/** Part of the limit that is spread evenly: what is left to a customer while nobody lends. */
-const FLOOR_PART = 0.2;
+/** Fraction of the limit that is divided evenly; all that a customer has while there is no lender. */
+const GUARANTEED_FRACTION = 0.2;
 /**
- * What each part uses of the requests that are tolerated in a window beyond the
- * limit; the rest covers instances that see the fleet differently.
+ * Fractions of the requests tolerated beyond the limit in a window that each part
+ * uses; the rest covers instances with different views of the fleet.
  */
-const TOLERANCE_USED = { floorBurst: 0.2, floorRate: 0.1, poolBurst: 0.4, poolStart: 0.25 };
-/** Part of all that may come in a window that is used. */
-const WINDOW_USED = 0.95;
+const TOLERANCE_FRACTIONS = {
+  guaranteedBurst: 0.2,
+  guaranteedRate: 0.1,
+  poolBurst: 0.4,
+  initialPool: 0.25,
+};
+/** Fraction of the requests tolerated in a window that may be admitted. */
+const WINDOW_FRACTION = 0.95;
 const MS_PER_SECOND = 1000;
 
-/** Divides a limit. */
+/** Divides a limit into its guaranteed and lent parts. */
 export const quotaParts = (
   { perSecond, burst }: RateLimit,
   { windowMs, overage, slack }: QuotaTolerance,
 ): QuotaParts => {
   const seconds = windowMs / MS_PER_SECOND;
-  const beyond = overage * (perSecond * seconds + burst) + slack;
-  const partOf = (part: number, usedAsRate: number, usedAtOnce: number): RateLimit => ({
-    perSecond: perSecond * part + (beyond * usedAsRate) / seconds,
-    burst: burst * part + beyond * usedAtOnce,
+  const tolerated = overage * (perSecond * seconds + burst) + slack;
+  const limitFor = (
+    limitFraction: number,
+    rateFraction: number,
+    burstFraction: number,
+  ): RateLimit => ({
+    perSecond: perSecond * limitFraction + (tolerated * rateFraction) / seconds,
+    burst: burst * limitFraction + tolerated * burstFraction,
   });
-  const { floorBurst, floorRate, poolBurst, poolStart } = TOLERANCE_USED;
-  const floor = partOf(FLOOR_PART, floorRate, floorBurst);
-  const most = (perSecond * seconds + burst + beyond) * WINDOW_USED;
+  const { guaranteedBurst, guaranteedRate, poolBurst, initialPool } = TOLERANCE_FRACTIONS;
+  const guaranteed = limitFor(GUARANTEED_FRACTION, guaranteedRate, guaranteedBurst);
+  const maxPerWindow = (perSecond * seconds + burst + tolerated) * WINDOW_FRACTION;
   return {
-    floor,
-    pool: partOf(1, 0, poolBurst),
-    poolAtStart: beyond * poolStart,
-    poolMost: most - floor.perSecond * seconds - floor.burst,
+    guaranteed,
+    pool: limitFor(1, 0, poolBurst),
+    initialPoolTokens: tolerated * initialPool,
+    maxPoolPerWindow: maxPerWindow - guaranteed.perSecond * seconds - guaranteed.burst,
   };
 };
--- a/packages/customers/src/quota/tokenBucket.ts
+++ b/packages/customers/src/quota/tokenBucket.ts
@@ -1,9 +1,9 @@
-/** A token bucket on the steady clock; where not told otherwise it starts empty, so that a restart is no new burst. */
+/** Token bucket on the monotonic clock; empty at the start by default, so that a restart does not allow a new burst. */
 import type { RateLimit } from '../customer';
 
 const MS_PER_SECOND = 1000;
 
-/** Tokens that come at a rate, up to a number that can be kept. */
+/** Refills at the rate of a limit, up to its burst. */
 export class TokenBucket {
   constructor(
     private limit: RateLimit,
@@ -11,38 +11,38 @@
     private level = 0,
   ) {}
 
-  /** Changes rate and size; what no longer fits is lost. */
+  /** Changes the rate and the capacity; tokens beyond the new capacity are dropped. */
   resize(limit: RateLimit, now: number): void {
-    this.fill(now);
+    this.refill(now);
     this.limit = limit;
     this.level = Math.min(this.level, limit.burst);
   }
 
-  /** Whole and broken tokens at `now` (ms). */
+  /** Tokens at `now` (ms), including fractions. */
   tokens(now: number): number {
-    this.fill(now);
+    this.refill(now);
     return this.level;
   }
 
-  /** Takes up to `most` whole tokens. */
-  take(most: number, now: number): number {
-    const taken = Math.min(most, Math.floor(this.tokens(now)));
+  /** Takes up to `max` whole tokens and returns how many were taken. */
+  take(max: number, now: number): number {
+    const taken = Math.min(max, Math.floor(this.tokens(now)));
     this.level -= taken;
     return taken;
   }
 
-  /** Puts tokens back that were not used; returns how many there was no room for. */
-  putBack(tokens: number, now: number): number {
-    this.fill(now);
+  /** Returns unused tokens to the bucket; the result is how many exceeded its capacity. */
+  refund(tokens: number, now: number): number {
+    this.refill(now);
     const kept = Math.max(0, Math.min(tokens, Math.floor(this.limit.burst - this.level)));
     this.level += kept;
     return tokens - kept;
   }
 
-  private fill(now: number): void {
-    const passedMs = Math.max(0, now - this.at);
+  private refill(now: number): void {
+    const elapsedMs = Math.max(0, now - this.at);
     this.at = Math.max(this.at, now);
-    const filled = this.level + (this.limit.perSecond * passedMs) / MS_PER_SECOND;
+    const filled = this.level + (this.limit.perSecond * elapsedMs) / MS_PER_SECOND;
     this.level = Math.min(this.limit.burst, filled);
   }
 }
--- a/packages/customers/src/quota/tokenPool.ts
+++ b/packages/customers/src/quota/tokenPool.ts
@@ -1,32 +1,32 @@
 /**
- * The lent part of one customer's limit, kept by one instance. While tokens
- * are plenty they all lie with the instances that have the customer's callers,
- * by their demand, so that nobody is turned away until the limit is near. They
- * come at the limit's rate. What others hold counts as long as it may still be
- * used, and what they used counts for a whole window: together never more than
- * may come in one.
+ * The lent part of one customer's limit, managed by one instance. Tokens accrue
+ * at the limit's rate. While there are enough, most are lent in advance to the
+ * instances that have the customer's callers, in proportion to their demand, so
+ * that no request is rejected until the limit is near. Tokens that borrowers
+ * hold count for as long as they can still be used, and used tokens count for a
+ * whole window; together they never exceed what one window allows.
  */
 import type { InstanceId } from '@cardamomladder/types';
 import { RollingCount } from '@cardamomladder/steering';
-import type { TokenNeed } from './allowance';
-import { STOCK_LAPSES_MS } from './allowance';
+import type { TokenNeed } from './localQuota';
+import { STOCK_EXPIRY_MS } from './localQuota';
 import type { QuotaParts } from './quotaParts';
 import { TokenBucket } from './tokenBucket';
 
-/** What a borrower holds is counted for this long after its last word, ms: it has let it lapse by then. */
-const HELD_COUNTS_MS = STOCK_LAPSES_MS + 1000;
-/** A borrower's demand counts against the others' for this long, ms: it speaks more often while it has any. */
-const DEMAND_COUNTS_MS = 2500;
-/** Part of the tokens that lies with the borrowers; the rest is for callers that come to another one. */
-const PART_LENT = 0.85;
-/** Part of the tokens there are that one answer gives: borrowers that were not heard yet need some too. */
-const PART_AT_A_TIME = 1 / 3;
-/** Every borrower counts with at least this demand, requests a second: it has a caller. */
-const LEAST_DEMAND = 1;
-/** Tokens are whole: beside the burst, as many are lent to each borrower, or a small limit would leave most with none. */
-const TOKENS_EACH = 3;
-/** Tokens are called back from a borrower that holds this many times its part. */
-const CALL_BACK_FROM = 1.5;
+/** Time after a borrower's last request for which its tokens count as held, ms; by then it has expired them. */
+const HELD_EXPIRY_MS = STOCK_EXPIRY_MS + 1000;
+/** Time for which a borrower's demand counts, ms; a borrower with demand makes requests more often than this. */
+const DEMAND_EXPIRY_MS = 2500;
+/** Fraction of the tokens lent to the current borrowers; the rest is for callers that move to another instance. */
+const LENT_FRACTION = 0.85;
+/** Maximum fraction of the available tokens lent per response, to leave some for borrowers not yet known. */
+const MAX_FRACTION_PER_RESPONSE = 1 / 3;
+/** Minimum demand assumed for every borrower, requests per second, because each has at least one caller. */
+const MIN_DEMAND = 1;
+/** Tokens lent per borrower beyond the burst: tokens are whole, so a small limit would leave most borrowers with none. */
+const EXTRA_TOKENS_PER_BORROWER = 3;
+/** Tokens are recalled from a borrower that holds more than this multiple of its fair share. */
+const RECALL_FACTOR = 1.5;
 
 interface Borrower {
   held: number;
@@ -34,7 +34,7 @@
   at: number;
 }
 
-/** One customer's pool. Times on the steady clock, ms. */
+/** Token pool of one customer. Times are on the monotonic clock, ms. */
 export class TokenPool {
   private readonly bucket: TokenBucket;
 
@@ -42,7 +42,7 @@
 
   private readonly used: RollingCount;
 
-  /** Tokens come from `from` on, beside those that it begins with. */
+  /** Starts with `tokens`; further tokens accrue from the time `from`. */
   constructor(
     private parts: QuotaParts,
     windowMs: number,
@@ -53,49 +53,59 @@
     this.used = new RollingCount(windowMs);
   }
 
-  /** Takes a changed limit. */
+  /** Applies a changed limit. */
   resize(parts: QuotaParts): void {
     this.parts = parts;
   }
 
-  /** What a borrower gets, or, below 0, is to give back, while `part` of the limit is lent here. */
+  /** Returns the tokens lent, or, if below 0, to be returned, when this instance lends `limitFraction` of the limit. */
   lend(
     id: InstanceId,
     { stock, back, shareUsed, demand, waiting }: TokenNeed,
-    part: number,
+    limitFraction: number,
     now: number,
   ): number {
-    this.bucket.putBack(back, now);
+    this.bucket.refund(back, now);
     this.bucket.take(shareUsed, now);
     const heldBefore = this.borrowers.get(id)?.held ?? 0;
     this.used.add(now, Math.max(0, heldBefore - stock - back));
-    const borrower = { held: stock, demand: Math.max(LEAST_DEMAND, demand), at: now };
+    const borrower = { held: stock, demand: Math.max(MIN_DEMAND, demand), at: now };
     this.borrowers.set(id, borrower);
     const held = this.held(now);
-    const available = this.available(part, held, now);
-    const all = (available + held) * PART_LENT;
-    // Where a customer has more instances than tokens, its requests get them as they come.
-    const share = Math.max(waiting, Math.floor((all * borrower.demand) / this.demand(now)));
-    if (stock > share * CALL_BACK_FROM) return share - stock;
-    const atATime = Math.min(Math.floor(available), Math.ceil(available * PART_AT_A_TIME));
-    const lent = this.bucket.take(Math.max(0, Math.min(share - stock, atATime)), now);
+    const available = this.available(limitFraction, held, now);
+    const lendable = (available + held) * LENT_FRACTION;
+    // When a customer has more instances than tokens, tokens are lent for waiting requests as these arrive.
+    const fairShare = Math.max(
+      waiting,
+      Math.floor((lendable * borrower.demand) / this.demand(now)),
+    );
+    if (stock > fairShare * RECALL_FACTOR) return fairShare - stock;
+    const maxPerResponse = Math.min(
+      Math.floor(available),
+      Math.ceil(available * MAX_FRACTION_PER_RESPONSE),
+    );
+    const lent = this.bucket.take(Math.max(0, Math.min(fairShare - stock, maxPerResponse)), now);
     borrower.held += lent;
     return lent;
   }
 
-  /** Tokens that may be lent now. */
-  private available(part: number, held: number, now: number): number {
-    const { pool, poolMost } = this.parts;
-    const burst = pool.burst * part + this.borrowers.size * TOKENS_EACH - held;
-    this.bucket.resize({ perSecond: pool.perSecond * part, burst: Math.max(0, burst) }, now);
-    const room = poolMost * part - held - this.used.total(now);
-    return Math.min(this.bucket.tokens(now), Math.max(0, room));
+  /** Tokens that can be lent now. */
+  private available(limitFraction: number, held: number, now: number): number {
+    const { pool, maxPoolPerWindow } = this.parts;
+    const burst =
+      pool.burst * limitFraction + this.borrowers.size * EXTRA_TOKENS_PER_BORROWER - held;
+    this.bucket.resize(
+      { perSecond: pool.perSecond * limitFraction, burst: Math.max(0, burst) },
+      now,
+    );
+    const windowRemaining = maxPoolPerWindow * limitFraction - held - this.used.total(now);
+    return Math.min(this.bucket.tokens(now), Math.max(0, windowRemaining));
   }
 
   private held(now: number): number {
     let held = 0;
     this.borrowers.forEach((borrower, id) => {
-      if (now - borrower.at > HELD_COUNTS_MS) this.borrowers.delete(id);
+      if (now - borrower.at > HELD_EXPIRY_MS) this.borrowers.delete(id);
       else held += borrower.held;
     });
     return held;
@@ -103,7 +113,7 @@
 
   private demand(now: number): number {
     return [...this.borrowers.values()]
-      .filter(({ at }) => now - at <= DEMAND_COUNTS_MS)
+      .filter(({ at }) => now - at <= DEMAND_EXPIRY_MS)
       .reduce((sum, { demand }) => sum + demand, 0);
   }
 }
--- a/packages/gateway/src/quota/quotas.ts
+++ b/packages/gateway/src/quota/quotas.ts
@@ -1,11 +1,11 @@
-/** The quotas of one instance: admission by what it may take, lending to its peers, and asking them. */
-import type { Allowance, Customer, QuotaTolerance } from '@cardamomladder/customers';
+/** Customer quotas of one instance: admission, lending tokens to peers, and requesting tokens from them. */
+import type { Customer, LocalQuota, QuotaTolerance } from '@cardamomladder/customers';
 import {
   Allowances,
   Lender,
-  WAIT_MOST_MS,
-  keeperOf,
-  keepersAmong,
+  MAX_WAIT_MS,
+  lenderOf,
+  selectLenders,
 } from '@cardamomladder/customers';
 import type { Beliefs, InstanceEntry } from '@cardamomladder/fleet';
 import type { InstanceId } from '@cardamomladder/types';
@@ -15,59 +15,59 @@
 import type { TokenAnswer, TokenQuestion } from './tokenFormat';
 import { startTokenRounds } from './tokenRounds';
 
-/** What quotas need of the instance. */
+/** Dependencies of an instance's quotas. */
 export interface QuotaOptions {
   self: InstanceId;
   beliefs: Beliefs;
   /** The instances that callers are sent to. */
   named: Pick<NamedInstances, 'holders'>;
   tolerance: QuotaTolerance;
-  /** How long ago the store was last heard, itself or through a relay, ms. */
+  /** Time since the store was last heard, directly or through a relay, ms. */
   storeHeardMsAgo: () => number;
   log: DecisionLog;
-  /** Steady clock, ms. */
+  /** Monotonic clock, ms. */
   now: () => number;
 }
 
-/** Whether a request is within its customer's limit; else when its caller may come back. */
+/** Whether a request is within its customer's limit; if not, when the caller may retry. */
 export type Admission = { kind: 'admitted' } | { kind: 'over-limit'; retryAfterMs: number };
 
-/** The steady clock counts from here, ms. */
+/** Process start, which is the origin of the monotonic clock, ms. */
 const PROCESS_START = 0;
 const ADMITTED: Admission = { kind: 'admitted' };
 
 /** The quotas of one instance. */
 export interface Quotas {
-  /** Takes a token for one request of a customer, which may have to wait for it. */
+  /** Takes a token for one request of a customer; the request may have to wait for it. */
   admit: (customer: Customer) => Admission | Promise<Admission>;
-  /** Puts the token of a request back that did not run. */
+  /** Returns the token of a request that was not executed. */
   putBack: (customer: Customer) => void;
-  /** What is known of a customer's limit here, for the log. */
+  /** State of a customer's limit at this instance, for the log. */
   describe: (customer: Customer) => Record<string, number>;
-  /** Lends to a peer. */
-  lend: (question: TokenQuestion) => TokenAnswer;
+  /** Handles a peer's token request. */
+  lend: (request: TokenQuestion) => TokenAnswer;
   stop: () => void;
 }
 
-/** The instances that lend, among those that callers are sent to. */
-const keepersOf = ({ beliefs }: QuotaOptions): InstanceEntry[] =>
-  keepersAmong(namedIn([...beliefs.instances.values()]));
+/** The lenders among the instances that callers are sent to. */
+const currentLenders = ({ beliefs }: QuotaOptions): InstanceEntry[] =>
+  selectLenders(namedIn([...beliefs.instances.values()]));
 
 const sameInstances = (some: readonly InstanceEntry[], others: readonly InstanceEntry[]) =>
   some.length === others.length && some.every(({ id }, i) => id === others[i].id);
 
-/** Whether a request may go; a promise while it waits for a token. */
-const decisionOf = (allowance: Allowance, now: () => number): Admission | Promise<Admission> => {
+/** Decides on a request; returns a promise if the request has to wait for a token. */
+const requestToken = (quota: LocalQuota, now: () => number): Admission | Promise<Admission> => {
   let decided: Admission | undefined;
   let resolve: ((admission: Admission) => void) | undefined;
-  allowance.request((isAdmitted) => {
+  quota.request((isAdmitted) => {
     decided = isAdmitted
       ? ADMITTED
-      : { kind: 'over-limit', retryAfterMs: allowance.comeBackInMs(now()) };
+      : { kind: 'over-limit', retryAfterMs: quota.nextRetryAfterMs(now()) };
     resolve?.(decided);
   }, now());
   if (decided) return decided;
-  setTimeout(() => allowance.expire(now()), WAIT_MOST_MS);
+  setTimeout(() => quota.rejectExpired(now()), MAX_WAIT_MS);
   return new Promise((settle) => {
     resolve = settle;
   });
@@ -76,8 +76,8 @@
 /** Starts an instance's quotas. */
 export const startQuotas = (options: QuotaOptions): Quotas => {
   const { self, beliefs, named, tolerance, storeHeardMsAgo, log, now } = options;
-  let keepers = keepersOf(options);
-  const allowances = new Allowances({
+  let lenders = currentLenders(options);
+  const localQuotas = new Allowances({
     self,
     tolerance,
     holders: () => named.holders(),
@@ -87,13 +87,13 @@
   const lender = new Lender({
     self,
     tolerance,
-    isKeeper: (customer) => keeperOf(customer, keepers)?.id === self,
-    holders: () => named.holders(),
+    isLender: (customer) => lenderOf(customer, lenders)?.id === self,
+    sharers: () => named.holders(),
     startedAt: PROCESS_START,
     now,
   });
   const lend = ({ asker, needs }: TokenQuestion): TokenAnswer => {
-    lender.hear(asker);
+    lender.recordContact(asker);
     return {
       lent: needs.flatMap(([customer, need]): TokenAnswer['lent'] => {
         const lent = lender.lend(customer, asker, need);
@@ -104,47 +104,47 @@
   let hasLimits = false;
   const configure = (customers: readonly Customer[]): void => {
     hasLimits = customers.some(({ limit }) => limit !== undefined);
-    allowances.configure(customers);
+    localQuotas.configure(customers);
     lender.configure(customers);
   };
   configure(beliefs.configuration?.customers ?? []);
-  const takeInstances = (): void => {
-    const changed = keepersOf(options);
-    if (sameInstances(keepers, changed)) return;
-    keepers = changed;
-    lender.review();
+  const updateLenders = (): void => {
+    const changed = currentLenders(options);
+    if (sameInstances(lenders, changed)) return;
+    lenders = changed;
+    lender.updatePools();
   };
-  const following = beliefs.changes.subscribe((change) => {
+  const subscription = beliefs.changes.subscribe((change) => {
     if (change.kind === 'configuration') configure(change.configuration.customers ?? []);
-    if (change.kind === 'instance' || change.kind === 'instance-gone') takeInstances();
+    if (change.kind === 'instance' || change.kind === 'instance-gone') updateLenders();
   });
   const rounds = startTokenRounds({
     self,
-    keepers: () => (hasLimits && named.holders().ids.includes(self) ? keepers : []),
-    allowances,
-    keeperOf: (customer) => keeperOf(customer, keepers),
+    lenders: () => (hasLimits && named.holders().ids.includes(self) ? lenders : []),
+    localQuotas,
+    lenderOf: (customer) => lenderOf(customer, lenders),
     lend,
     log,
     now,
   });
   return {
     admit: ({ name }) => {
-      const allowance = allowances.of(name);
-      if (!allowance) return ADMITTED;
-      const decision = decisionOf(allowance, now);
-      if (allowance.isShort(now())) rounds.hurry(name);
+      const quota = localQuotas.of(name);
+      if (!quota) return ADMITTED;
+      const decision = requestToken(quota, now);
+      if (quota.shouldAskNow(now())) rounds.askNow(name);
       return decision;
     },
-    putBack: ({ name }) => allowances.of(name)?.putBack(now()),
+    putBack: ({ name }) => localQuotas.of(name)?.refund(now()),
     describe: ({ name, limit }) => ({
       limitPerSecond: limit?.perSecond ?? 0,
       burst: limit?.burst ?? 0,
-      ...allowances.of(name)?.describe(now()),
+      ...localQuotas.of(name)?.describe(now()),
       storeHeardMsAgo: Math.round(storeHeardMsAgo()),
     }),
     lend,
     stop: () => {
-      following.unsubscribe();
+      subscription.unsubscribe();
       rounds.stop();
     },
   };
--- a/packages/gateway/src/quota/tokenFormat.ts
+++ b/packages/gateway/src/quota/tokenFormat.ts
@@ -1,9 +1,9 @@
-/** How a question for tokens and its answer look on their way from peer to peer. */
+/** Schemas of the token requests and responses exchanged between peers. */
 import { z } from 'zod';
 import { customerName, instanceId } from '@cardamomladder/types';
 
-/** Most customers in one question. */
-export const CUSTOMERS_AT_A_TIME = 500;
+/** Maximum number of customers in one token request. */
+export const MAX_CUSTOMERS_PER_REQUEST = 500;
 
 const count = z.number().int().min(0);
 const name = z.string().min(1).transform(customerName);
@@ -12,22 +12,20 @@
   back: count,
   shareUsed: count,
   demand: z.number().min(0),
-  // An older version does not say.
+  // Absent in requests from older versions.
   waiting: count.default(0),
 });
 
-/** A question: by customer, what the asker holds, gives back, and is asked for. */
+/** Token request: for each customer, the tokens that the asker holds and returns, and its demand. */
 export const tokenQuestion = z.object({
   asker: z.string().min(1).transform(instanceId),
-  needs: z.array(z.tuple([name, need])).max(CUSTOMERS_AT_A_TIME),
+  needs: z.array(z.tuple([name, need])).max(MAX_CUSTOMERS_PER_REQUEST),
 });
 
-/** The answer: what was lent, or is wanted back (below 0), by customer; one that another instance keeps is missing. */
+/** Token response: tokens lent, or, if below 0, to be returned, by customer; omits customers of other lenders. */
 export const tokenAnswer = z.object({
   lent: z.array(z.tuple([name, z.number().int()])),
 });
 
-/** A question for tokens. */
 export type TokenQuestion = z.output<typeof tokenQuestion>;
-/** What was lent. */
 export type TokenAnswer = z.output<typeof tokenAnswer>;
--- a/packages/gateway/src/quota/tokenRounds.ts
+++ b/packages/gateway/src/quota/tokenRounds.ts
@@ -1,116 +1,115 @@
 /**
- * Asks the lenders for tokens, some times a second, beside the requests: one
- * question to each, for all customers that it keeps.
+ * Requests tokens from the lenders several times a second, independently of
+ * callers' requests: one token request per lender, for all of its customers.
  */
 import type { Allowances, TokenNeed } from '@cardamomladder/customers';
-import { ASK_APART_MS, IN_TOUCH_EVERY_MS } from '@cardamomladder/customers';
+import { CONTACT_INTERVAL_MS, MIN_ASK_INTERVAL_MS } from '@cardamomladder/customers';
 import type { InstanceEntry } from '@cardamomladder/fleet';
 import type { CustomerName, InstanceId } from '@cardamomladder/types';
 import type { DecisionLog } from '../decisionLog';
 import { peerClient } from '../peers/client';
 import type { TokenAnswer, TokenQuestion } from './tokenFormat';
-import { CUSTOMERS_AT_A_TIME, tokenAnswer } from './tokenFormat';
+import { MAX_CUSTOMERS_PER_REQUEST, tokenAnswer } from './tokenFormat';
 
-/** Time between rounds, ms: what is lent lasts for two and a half of them. */
-const ROUND_MS = 280;
-/** How long a lender may take, ms: over two ways between any regions. */
-const ANSWER_WITHIN_MS = 250;
+/** Interval between rounds, ms; lent tokens last for two and a half rounds. */
+const ROUND_INTERVAL_MS = 280;
+/** Timeout of a lender's response, ms: more than a round trip between any two regions. */
+const RESPONSE_TIMEOUT_MS = 250;
 
-/** What asking needs of the instance. */
-export interface RoundOptions {
+/** Dependencies of the token rounds. */
+export interface TokenRoundOptions {
   self: InstanceId;
-  allowances: Allowances;
-  /** The lenders that are to know that this instance is in touch with them. */
-  keepers: () => readonly InstanceEntry[];
-  /** Who keeps a customer's pool. */
-  keeperOf: (customer: CustomerName) => InstanceEntry | undefined;
-  /** Asks this instance's own lender. */
-  lend: (question: TokenQuestion) => TokenAnswer;
+  localQuotas: Allowances;
+  /** The lenders with which this instance must stay in contact. */
+  lenders: () => readonly InstanceEntry[];
+  /** The lender of a customer's tokens. */
+  lenderOf: (customer: CustomerName) => InstanceEntry | undefined;
+  /** Sends a token request to this instance's own lender. */
+  lend: (request: TokenQuestion) => TokenAnswer;
   log: DecisionLog;
-  /** Steady clock, ms. */
+  /** Monotonic clock, ms. */
   now: () => number;
 }
 
-interface Asked {
-  keeper: InstanceEntry;
+interface LenderRequest {
+  lender: InstanceEntry;
   needs: TokenQuestion['needs'];
 }
 
-const byKeeper = (
+const groupByLender = (
   needs: ReadonlyMap<CustomerName, TokenNeed>,
-  keeperOf: RoundOptions['keeperOf'],
-): Asked[] => {
-  const asked = new Map<InstanceId, Asked>();
+  lenderOf: TokenRoundOptions['lenderOf'],
+): LenderRequest[] => {
+  const requests = new Map<InstanceId, LenderRequest>();
   needs.forEach((need, customer) => {
-    const keeper = keeperOf(customer);
-    if (!keeper) return;
-    const all = asked.get(keeper.id)?.needs ?? [];
-    if (all.length < CUSTOMERS_AT_A_TIME) all.push([customer, need]);
-    asked.set(keeper.id, { keeper, needs: all });
+    const lender = lenderOf(customer);
+    if (!lender) return;
+    const all = requests.get(lender.id)?.needs ?? [];
+    if (all.length < MAX_CUSTOMERS_PER_REQUEST) all.push([customer, need]);
+    requests.set(lender.id, { lender, needs: all });
   });
-  return [...asked.values()];
+  return [...requests.values()];
 };
 
-/** Running rounds. */
+/** Periodic rounds of token requests. */
 export interface TokenRounds {
-  /** Asks for one customer at once. */
-  hurry: (customer: CustomerName) => void;
+  /** Requests tokens for one customer immediately. */
+  askNow: (customer: CustomerName) => void;
   stop: () => void;
 }
 
-/** Starts the rounds. */
-export const startTokenRounds = (options: RoundOptions): TokenRounds => {
-  const { self, allowances, keepers, keeperOf, lend, log, now } = options;
-  const spokenAt = new Map<InstanceId, number>();
+export const startTokenRounds = (options: TokenRoundOptions): TokenRounds => {
+  const { self, localQuotas, lenders, lenderOf, lend, log, now } = options;
+  const lastContactAt = new Map<InstanceId, number>();
   const askPeer = async (
     { peerAddress }: InstanceEntry,
-    question: TokenQuestion,
+    request: TokenQuestion,
   ): Promise<TokenAnswer> => {
-    const answer = await peerClient(peerAddress, ANSWER_WITHIN_MS).tokens.mutate(question);
-    return tokenAnswer.parse(answer);
+    const response = await peerClient(peerAddress, RESPONSE_TIMEOUT_MS).tokens.mutate(request);
+    return tokenAnswer.parse(response);
   };
   const receive = ([customer, tokens]: TokenAnswer['lent'][number]): void => {
-    const allowance = allowances.of(customer);
-    allowance?.receive(tokens, now());
-    // These came after the question was asked.
-    if (allowance && allowance.waits > 0) setTimeout(() => hurry(customer), ASK_APART_MS);
+    const quota = localQuotas.of(customer);
+    quota?.receive(tokens, now());
+    // The remaining requests arrived after the token request was sent.
+    if (quota && quota.waitingCount > 0) setTimeout(() => askNow(customer), MIN_ASK_INTERVAL_MS);
   };
-  const ask = async ({ keeper, needs }: Asked): Promise<void> => {
-    spokenAt.set(keeper.id, now());
-    const question = { asker: self, needs };
-    const { lent } = keeper.id === self ? lend(question) : await askPeer(keeper, question);
+  const ask = async ({ lender, needs }: LenderRequest): Promise<void> => {
+    lastContactAt.set(lender.id, now());
+    const request = { asker: self, needs };
+    const { lent } = lender.id === self ? lend(request) : await askPeer(lender, request);
     lent.forEach(receive);
   };
-  const askAll = (questions: readonly Asked[]): void =>
-    questions.forEach((asked) => {
-      ask(asked).catch((error: Error) => {
-        asked.needs.forEach(([customer]) => allowances.of(customer)?.unanswered(now()));
+  const askAll = (requests: readonly LenderRequest[]): void =>
+    requests.forEach((request) => {
+      ask(request).catch((error: Error) => {
+        request.needs.forEach(([customer]) => localQuotas.of(customer)?.unanswered(now()));
         log.write('quota', undefined, {
           event: 'lender did not answer',
-          peer: asked.keeper.id,
+          peer: request.lender.id,
           reason: error.message,
         });
       });
     });
-  function hurry(customer: CustomerName): void {
-    const allowance = allowances.of(customer);
-    if (allowance && !keeperOf(customer)) allowance.unanswered(now());
-    const need = allowance?.need(now());
-    if (need) askAll(byKeeper(new Map([[customer, need]]), keeperOf));
+  function askNow(customer: CustomerName): void {
+    const quota = localQuotas.of(customer);
+    if (quota && !lenderOf(customer)) quota.unanswered(now());
+    const need = quota?.need(now());
+    if (need) askAll(groupByLender(new Map([[customer, need]]), lenderOf));
   }
   const isDue = ({ id }: InstanceEntry): boolean =>
-    id !== self && now() - (spokenAt.get(id) ?? -Infinity) >= IN_TOUCH_EVERY_MS;
+    id !== self && now() - (lastContactAt.get(id) ?? -Infinity) >= CONTACT_INTERVAL_MS;
   const round = (): void => {
-    askAll(byKeeper(allowances.needs(), keeperOf));
+    askAll(groupByLender(localQuotas.needs(), lenderOf));
     askAll(
-      keepers()
+      lenders()
         .filter(isDue)
-        .map((keeper) => ({ keeper, needs: [] })),
+        .map((lender) => ({ lender, needs: [] })),
     );
   };
-  const timer = setInterval(round, ROUND_MS);
+  const timer = setInterval(round, ROUND_INTERVAL_MS);
   return {
-    hurry,
+    askNow,
     stop: () => clearInterval(timer),
   };
 };
