--- a/packages/gateway/src/requests/__tests__/crashEvidence.test.ts
+++ b/packages/gateway/src/requests/__tests__/crashEvidence.test.ts
@@ -11,17 +11,17 @@
 } from '@cardamomladder/types';
 import type { AttemptOutcome } from '../../targets/attempt';
 import type { ReachableTarget } from '../../targets/registry';
-import { takeEvidence } from '../crashEvidence';
-import type { Serving } from '../serving';
+import { recordCrashEvidence } from '../crashEvidence';
+import type { RequestExecution } from '../serving';
 
 const asked: AskedRequest = { request: requestDigest('r'), caller: callerDigest('c') };
 const answer = (status: number) => ({ kind: 'answer', status }) as AttemptOutcome;
 
 /** Takes an outcome of a request that was under way at two crashes; what is told of it. */
-const take = async (outcome: AttemptOutcome) => {
+const record = async (outcome: AttemptOutcome) => {
   const quarantine = new Quarantine(() => 0);
   const answeredLately = new AnsweredLately(() => 0);
-  const told: AskedRequest[] = [];
+  const reported: AskedRequest[] = [];
   quarantine.file(
     'north',
     { epoch: storeEpoch(0), revision: 1 },
@@ -30,17 +30,21 @@
       answered: [],
     },
   );
-  const crashReports = { answered: (each: AskedRequest) => told.push(each) };
+  const crashReports = { answered: (each: AskedRequest) => reported.push(each) };
   const ctx = { quarantine, answeredLately, crashReports };
-  const serving = { ctx, asked, what: asked.request };
-  await takeEvidence(serving as unknown as Serving, {} as ReachableTarget, outcome);
-  return { told, lately: answeredLately.has(asked.request) };
+  const execution = { ctx, asked, requestDigest: asked.request };
+  await recordCrashEvidence(
+    execution as unknown as RequestExecution,
+    {} as ReachableTarget,
+    outcome,
+  );
+  return { reported, answeredRecently: answeredLately.has(asked.request) };
 };
 
 describe('a request that was under way at crashes', () => {
   it('is cleared by an answer', async () => {
-    expect(await take(answer(200))).toEqual({ told: [asked], lately: true });
-    expect(await take(answer(404))).toEqual({ told: [asked], lately: true });
+    expect(await record(answer(200))).toEqual({ reported: [asked], answeredRecently: true });
+    expect(await record(answer(404))).toEqual({ reported: [asked], answeredRecently: true });
   });
 
   it('is not cleared by a failure or a refusal', async () => {
@@ -48,8 +52,8 @@
     // Sequence: among the targets is one that fails part of its requests before
     // it works on them; it answers 500 to this one. Cause: any answer was taken
     // as proof that the request crashes nothing.
-    const nothing = { told: [], lately: false };
-    expect(await take(answer(500))).toEqual(nothing);
-    expect(await take({ kind: 'not-run', reason: 'rejected' })).toEqual(nothing);
+    const nothing = { reported: [], answeredRecently: false };
+    expect(await record(answer(500))).toEqual(nothing);
+    expect(await record({ kind: 'not-run', reason: 'rejected' })).toEqual(nothing);
   });
 });
--- a/packages/gateway/src/requests/__tests__/repeatPolicy.test.ts
+++ b/packages/gateway/src/requests/__tests__/retryPolicy.test.ts
@@ -4,7 +4,7 @@
 import { seeded } from '@cardamomladder/load';
 import type { RequestKind } from '@cardamomladder/routing';
 import type { AttemptOutcome } from '../../targets/attempt';
-import { silentAfter, worthRepeating } from '../repeatPolicy';
+import { retryTimeoutMs, shouldRetry } from '../retryPolicy';
 
 const head = (headers: Record<string, string>) => ({ headers }) as unknown as IncomingMessage;
 const framed = head({ 'content-length': '2' });
@@ -27,7 +27,7 @@
     const kinds: RequestKind[] = ['idempotent', 'download', 'non-idempotent'];
     const table = Object.entries(outcomes).map(
       ([name, outcome]) =>
-        `${name}: ${kinds.filter((kind) => worthRepeating(kind, outcome)).join(', ')}`,
+        `${name}: ${kinds.filter((kind) => shouldRetry(kind, outcome)).join(', ')}`,
     );
     expect(table).toMatchSnapshot();
   });
@@ -37,13 +37,13 @@
     // Sequence: the object is new to its target, which takes 480 ms; at 350 ms
     // the send is given up and the next target starts on it, new as well.
     // Cause: the wait followed the mean of answers from memory.
-    const waits = [0, 150, 480, 2000].map((ms) => {
+    const timeouts = [0, 150, 480, 2000].map((ms) => {
       const longest = { ms, answers: 10_000 };
-      return silentAfter(1200, { send: longest, repeat: longest });
+      return retryTimeoutMs(1200, { send: longest, retry: longest });
     });
-    expect(waits.map((ms) => ms && Math.round(ms))).toEqual([350, 350, 624, undefined]);
+    expect(timeouts.map((ms) => ms && Math.round(ms))).toEqual([350, 350, 624, undefined]);
     const unknown = { ms: 0, answers: 0 };
-    expect(silentAfter(1200, { send: unknown, repeat: unknown })).toBeUndefined();
+    expect(retryTimeoutMs(1200, { send: unknown, retry: unknown })).toBeUndefined();
   });
 
   it('do not take away an answer that no repeat could bring in time', () => {
@@ -52,11 +52,11 @@
     // object; after 2.25 of 3 s the send is given up, and the next target, to
     // which the object is new as well, has 0.75 s left. Cause: a repeat was
     // made whether or not it could be answered.
-    const toNewObjects = { ms: 2400, answers: 50 };
-    const fromMemory = { ms: 900, answers: 50 };
-    expect(silentAfter(3000, { send: toNewObjects, repeat: toNewObjects })).toBeUndefined();
-    expect(silentAfter(3000, { send: fromMemory, repeat: toNewObjects })).toBeUndefined();
-    expect(silentAfter(12_000, { send: fromMemory, repeat: toNewObjects })).toBeCloseTo(1350);
+    const uncached = { ms: 2400, answers: 50 };
+    const cached = { ms: 900, answers: 50 };
+    expect(retryTimeoutMs(3000, { send: uncached, retry: uncached })).toBeUndefined();
+    expect(retryTimeoutMs(3000, { send: cached, retry: uncached })).toBeUndefined();
+    expect(retryTimeoutMs(12_000, { send: cached, retry: uncached })).toBeCloseTo(1350);
   });
 
   it('wait longer while few answers are known', () => {
@@ -67,16 +67,16 @@
     const random = seeded(4);
     const answerMs = () => 200 - 150 * Math.log(1 - random());
     const rounds = 4000;
-    const givenUp = (few: number): number => {
-      const early = Array.from({ length: rounds }, () => {
-        const ms = Math.max(...Array.from({ length: few }, answerMs));
-        const longest = { ms, answers: few };
-        return answerMs() > (silentAfter(5000, { send: longest, repeat: longest }) ?? Infinity);
+    const abandonedShare = (sampleCount: number): number => {
+      const abandoned = Array.from({ length: rounds }, () => {
+        const ms = Math.max(...Array.from({ length: sampleCount }, answerMs));
+        const longest = { ms, answers: sampleCount };
+        return answerMs() > (retryTimeoutMs(5000, { send: longest, retry: longest }) ?? Infinity);
       });
-      return early.filter(Boolean).length / rounds;
+      return abandoned.filter(Boolean).length / rounds;
     };
-    expect(givenUp(3)).toBeLessThan(0.01);
-    expect(givenUp(10)).toBeLessThan(0.01);
-    expect(givenUp(100)).toBeLessThan(0.01);
+    expect(abandonedShare(3)).toBeLessThan(0.01);
+    expect(abandonedShare(10)).toBeLessThan(0.01);
+    expect(abandonedShare(100)).toBeLessThan(0.01);
   });
 });
--- a/packages/gateway/src/requests/__tests__/waitedBefore.test.ts
+++ b/packages/gateway/src/requests/__tests__/waitedBefore.test.ts
@@ -7,9 +7,11 @@
 
 describe('the wait before an attempt', () => {
   it('is what an attempt states less than any first one would', () => {
-    const waited = new WaitedBefore();
-    const stated = [4000, 4600, 3400, 2000, 300];
-    expect(stated.map((ms) => Math.round(waited.take(lookups, ms)))).toEqual([0, 0, 0, 1220, 2920]);
-    expect(waited.take(routeName('other'), 300)).toBe(0);
+    const estimator = new WaitedBefore();
+    const timeouts = [4000, 4600, 3400, 2000, 300];
+    expect(timeouts.map((ms) => Math.round(estimator.take(lookups, ms)))).toEqual([
+      0, 0, 0, 1220, 2920,
+    ]);
+    expect(estimator.take(routeName('other'), 300)).toBe(0);
   });
 });
--- a/packages/gateway/src/requests/answers.ts
+++ b/packages/gateway/src/requests/answers.ts
@@ -1,10 +1,10 @@
 /** Writing answers to callers: a target's own, unchanged, or one of this instance's. */
 import type { IncomingMessage, OutgoingHttpHeaders, ServerResponse } from 'node:http';
 import type { AttemptOutcome } from '../targets/attempt';
-import { isFramed, wholeCheck } from '../targets/attempt';
+import { isFramed, completenessCheck } from '../targets/attempt';
 
 /** Headers that concern one connection only (RFC 9110, 7.6.1). */
-const CONNECTION_HEADERS = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -17,13 +17,13 @@
 ]);
 
 /** The headers of a message that are passed on: all but the connection's own and those it names. */
-export const passedHeaders = (message: IncomingMessage): OutgoingHttpHeaders => {
-  const named = (message.headers.connection ?? '')
+export const forwardedHeaders = (message: IncomingMessage): OutgoingHttpHeaders => {
+  const connectionTokens = (message.headers.connection ?? '')
     .split(',')
     .map((token) => token.trim().toLowerCase());
   const headers: OutgoingHttpHeaders = {};
   Object.entries(message.headers).forEach(([name, value]) => {
-    if (!CONNECTION_HEADERS.has(name) && !named.includes(name)) headers[name] = value;
+    if (!HOP_BY_HOP_HEADERS.has(name) && !connectionTokens.includes(name)) headers[name] = value;
   });
   return headers;
 };
@@ -31,53 +31,53 @@
 /** Passes a target's answer on, whole; one that breaks off midway breaks off here too. */
 export const relay = (
   res: ServerResponse,
-  answer: Extract<AttemptOutcome, { kind: 'answer' }>,
+  response: Extract<AttemptOutcome, { kind: 'answer' }>,
 ): Promise<'complete' | 'cut'> => {
-  const headers = passedHeaders(answer.head);
-  const { rest } = answer;
-  if (!isFramed(answer.head)) {
+  const headers = forwardedHeaders(response.head);
+  const { remaining } = response;
+  if (!isFramed(response.head)) {
     // Nobody can tell whether it ended early, so it must not be given a length
     // or a last chunk that says it did not.
     res.shouldKeepAlive = false;
     res.useChunkedEncodingByDefault = false;
     res.removeHeader('transfer-encoding');
   }
-  if (!rest) {
-    const body = Buffer.concat(answer.chunks);
-    if (isFramed(answer.head)) headers['content-length'] ??= body.length;
-    res.writeHead(answer.status, headers);
+  if (!remaining) {
+    const body = Buffer.concat(response.chunks);
+    if (isFramed(response.head)) headers['content-length'] ??= body.length;
+    res.writeHead(response.status, headers);
     res.end(body);
     return Promise.resolve('complete');
   }
-  const isWhole = wholeCheck(rest);
-  res.writeHead(answer.status, headers);
-  answer.chunks.forEach((chunk) => res.write(chunk));
+  const isComplete = completenessCheck(remaining);
+  res.writeHead(response.status, headers);
+  response.chunks.forEach((chunk) => res.write(chunk));
   return new Promise((resolve) => {
-    const cut = () => {
+    const abort = () => {
       // Ending normally would make a partial body look whole.
       res.destroy();
       resolve('cut');
     };
-    rest.on('end', () => {
-      if (!isWhole()) {
-        cut();
+    remaining.on('end', () => {
+      if (!isComplete()) {
+        abort();
         return;
       }
       res.end();
       resolve('complete');
     });
-    rest.on('error', cut);
-    rest.on('aborted', cut);
+    remaining.on('error', abort);
+    remaining.on('aborted', abort);
     res.on('close', () => {
-      rest.destroy();
+      remaining.destroy();
       resolve('cut');
     });
-    rest.pipe(res, { end: false });
+    remaining.pipe(res, { end: false });
   });
 };
 
 /** An answer of this instance's own. */
-export interface OwnAnswer {
+export interface GatewayResponse {
   status: 400 | 401 | 404 | 413 | 429 | 502 | 503 | 504;
   message: string;
   /** When to come back, for requests that did not run. */
@@ -89,15 +89,15 @@
 const MS_PER_SECOND = 1000;
 
 /** Sends an answer of this instance's own. */
-export const answerOwn = (res: ServerResponse, answer: OwnAnswer): void => {
-  const body = JSON.stringify({ message: answer.message });
+export const answerOwn = (res: ServerResponse, response: GatewayResponse): void => {
+  const body = JSON.stringify({ message: response.message });
   const headers: OutgoingHttpHeaders = {
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(body),
   };
-  if (answer.challenge !== undefined) headers['www-authenticate'] = answer.challenge;
-  if (answer.retryAfterMs !== undefined)
-    headers['retry-after'] = (answer.retryAfterMs / MS_PER_SECOND).toFixed(3);
-  res.writeHead(answer.status, headers);
+  if (response.challenge !== undefined) headers['www-authenticate'] = response.challenge;
+  if (response.retryAfterMs !== undefined)
+    headers['retry-after'] = (response.retryAfterMs / MS_PER_SECOND).toFixed(3);
+  res.writeHead(response.status, headers);
   res.end(body);
 };
--- a/packages/gateway/src/requests/callerRequest.ts
+++ b/packages/gateway/src/requests/callerRequest.ts
@@ -42,15 +42,15 @@
 }
 
 /** A caller that states no time gets this long, ms. */
-const DEFAULT_WAIT_MS = 30_000;
+const DEFAULT_TIMEOUT_MS = 30_000;
 
-const single = (value: string | string[] | undefined): string | undefined =>
+const firstValue = (value: string | string[] | undefined): string | undefined =>
   Array.isArray(value) ? value[0] : value;
 
 /** How long the caller says that it will wait, ms; undefined when it says nothing usable. */
 export const statedWaitMs = (req: IncomingMessage, names: HeaderNames): number | undefined => {
-  const stated = Number(single(req.headers[names.waitMs]));
-  return Number.isFinite(stated) && stated > 0 ? stated : undefined;
+  const value = Number(firstValue(req.headers[names.waitMs]));
+  return Number.isFinite(value) && value > 0 ? value : undefined;
 };
 
 /** When the final answer to a request on `route` is due, for a caller that waits `waitMs`. */
@@ -58,11 +58,11 @@
   route: Route,
   waitMs: number | undefined,
   arrivedAt: number,
-): number => arrivedAt + Math.min(waitMs ?? DEFAULT_WAIT_MS, route.timeoutMs ?? Infinity);
+): number => arrivedAt + Math.min(waitMs ?? DEFAULT_TIMEOUT_MS, route.timeoutMs ?? Infinity);
 
 /** The caller's id of this attempt; undefined when it sent none. */
 export const requestIdOf = (req: IncomingMessage, names: HeaderNames): RequestId | undefined => {
-  const value = single(req.headers[names.requestId]);
+  const value = firstValue(req.headers[names.requestId]);
   return value === undefined || value === '' ? undefined : requestId(value);
 };
 
@@ -77,8 +77,8 @@
   route: RouteName,
   id: RequestId,
 ): ObjectKey => {
-  const stated = single(req.headers[names.objectKey]);
-  return objectKey(stated === undefined ? id : `${route}|${stated}`);
+  const objectName = firstValue(req.headers[names.objectKey]);
+  return objectKey(objectName === undefined ? id : `${route}|${objectName}`);
 };
 
 /** All values of a header, in the order sent; Node itself keeps only the first of some. */
--- a/packages/gateway/src/requests/crashEvidence.ts
+++ b/packages/gateway/src/requests/crashEvidence.ts
@@ -3,21 +3,24 @@
 import { pause } from '@cardamomladder/types';
 import type { AttemptOutcome } from '../targets/attempt';
 import type { ReachableTarget } from '../targets/registry';
-import { FIRST_SERVER_ERROR } from './repeatPolicy';
-import type { Serving } from './serving';
+import { FIRST_SERVER_ERROR } from './retryPolicy';
+import type { RequestExecution } from './serving';
 
 /** When a caller whose request is held may try again, ms: one that is held on suspicion alone is let go within two minutes. */
-export const TRY_AGAIN_MS = 30_000;
+export const QUARANTINE_RETRY_AFTER_MS = 30_000;
 /** How long a repeat of a suspected request waits to hear whether its target crashed, ms: the way there and back between any two regions, and some for a busy instance. */
-const HEAR_WITHIN_MS = 100;
+const CRASH_CHECK_TIMEOUT_MS = 100;
 /** From so many crashes under a request an answer to it is reported: one more without it and the request would be held everywhere. */
-const ANSWERS_TELL_FROM = CRASHES_OF_A_CAUSE - 1;
+const MIN_CRASHES_TO_REPORT_RESPONSE = CRASHES_OF_A_CAUSE - 1;
 
 /** Has it looked into whether the target crashed; never rejects. */
-const witness = async (serving: Serving, target: ReachableTarget): Promise<void> => {
-  const { ctx, request } = serving;
+const checkForCrash = async (
+  execution: RequestExecution,
+  target: ReachableTarget,
+): Promise<void> => {
+  const { ctx, request } = execution;
   try {
-    await ctx.crashes.closedUnder(target, serving.asked);
+    await ctx.crashes.checkClosedConnection(target, execution.asked);
   } catch (error) {
     ctx.log.write('target-crashed', request.id, { problem: (error as Error).message });
   }
@@ -29,21 +32,24 @@
  * until it is known whether this was a crash too, or it would end one more
  * target before the crash counts.
  */
-export const takeEvidence = async (
-  serving: Serving,
+export const recordCrashEvidence = async (
+  execution: RequestExecution,
   target: ReachableTarget,
   outcome: AttemptOutcome,
 ): Promise<void> => {
-  const { quarantine, answeredLately, crashReports } = serving.ctx;
+  const { quarantine, answeredLately, crashReports } = execution.ctx;
   if (outcome.kind === 'lost' && outcome.reason === 'closed') {
-    const heard = witness(serving, target);
-    if (quarantine.crashesUnder(serving.asked) > 0)
-      await Promise.race([heard, pause(HEAR_WITHIN_MS)]);
+    const crashCheck = checkForCrash(execution, target);
+    if (quarantine.crashesUnder(execution.asked) > 0)
+      await Promise.race([crashCheck, pause(CRASH_CHECK_TIMEOUT_MS)]);
     return;
   }
   // A target that fails part of its requests may answer before it works on one.
   if (outcome.kind !== 'answer' || outcome.status >= FIRST_SERVER_ERROR) return;
-  answeredLately.note(serving.what);
-  if (!quarantine.idle && quarantine.crashesUnder(serving.asked) >= ANSWERS_TELL_FROM)
-    crashReports.answered(serving.asked);
+  answeredLately.note(execution.requestDigest);
+  if (
+    !quarantine.idle &&
+    quarantine.crashesUnder(execution.asked) >= MIN_CRASHES_TO_REPORT_RESPONSE
+  )
+    crashReports.answered(execution.asked);
 };
--- a/packages/gateway/src/requests/repeatBudgets.ts
+++ b/packages/gateway/src/requests/repeatBudgets.ts
@@ -11,8 +11,8 @@
 ): ((service: ServiceName) => RepeatBudget) => {
   const budgets = new Map<ServiceName, RepeatBudget>();
   return (service) => {
-    const known = budgets.get(service);
-    if (known) return known;
+    const existing = budgets.get(service);
+    if (existing) return existing;
     const { repeatRatio, repeatExtra, repeatWindowSeconds } = bounds();
     const budget = new RepeatBudget({
       ratio: repeatRatio,
--- a/packages/gateway/src/requests/repeatPolicy.ts
+++ b/packages/gateway/src/requests/retryPolicy.ts
@@ -13,23 +13,23 @@
 /** A target's own failure from here on is worth another target's answer. */
 export const FIRST_SERVER_ERROR = 500;
 /** A send with less time left than this, ms, is not worth making. */
-export const LEAST_SEND_MS = 30;
+export const MIN_SEND_TIME_MS = 30;
 /** True when sending the request once more can't break at-most-once and may help. */
-export const worthRepeating = (kind: RequestKind, outcome: AttemptOutcome): boolean => {
+export const shouldRetry = (kind: RequestKind, outcome: AttemptOutcome): boolean => {
   if (outcome.kind === 'not-run') return true;
   if (!repeatable(kind)) return false;
   if (outcome.kind === 'lost') return outcome.reason !== 'cancelled';
-  if (outcome.rest !== undefined) return false;
+  if (outcome.remaining !== undefined) return false;
   // An answer without a stated length may have ended early.
   return outcome.status >= FIRST_SERVER_ERROR || !isFramed(outcome.head);
 };
 
 /** The longest answers of late that tell whether a send is silent, and whether a repeat can still be answered. */
-export interface ExpectedAnswers {
+export interface ExpectedLatency {
   /** Of sends like this one: to targets that remember the object, or to which it is new. */
   send: LongestKnown;
   /** Of sends like the repeat, to whose target the object is most likely new. */
-  repeat: LongestKnown;
+  retry: LongestKnown;
 }
 
 /**
@@ -39,9 +39,9 @@
  * or the object is new to it, gets no better by a second send. A repeat that
  * could not be answered in time only takes the first send's answer away.
  */
-export const silentAfter = (leftMs: number, longest: ExpectedAnswers): number | undefined => {
-  const { send, repeat } = longest;
+export const retryTimeoutMs = (leftMs: number, longest: ExpectedLatency): number | undefined => {
+  const { send, retry } = longest;
   const waitMs = overdueAfter(send);
   if (waitMs === undefined) return undefined;
-  return waitMs + Math.max(repeat.ms, send.ms) <= leftMs ? waitMs : undefined;
+  return waitMs + Math.max(retry.ms, send.ms) <= leftMs ? waitMs : undefined;
 };
--- a/packages/gateway/src/requests/send.ts
+++ b/packages/gateway/src/requests/send.ts
@@ -8,17 +8,17 @@
 import { sendAttempt } from '../targets/attempt';
 import type { ReachableTarget } from '../targets/registry';
 import { CREDENTIALS_HEADER } from '../wireNames';
-import { passedHeaders } from './answers';
-import type { Serving } from './serving';
-import { hearStatement } from './targetStatements';
-import { learn } from './targetHealth';
+import { forwardedHeaders } from './answers';
+import type { RequestExecution } from './serving';
+import { applyStatement } from './targetStatements';
+import { recordOutcome } from './targetHealth';
 
 const spans = tracer('gateway');
 
-const sendHeaders = (serving: Serving, target: ReachableTarget): OutgoingHttpHeaders => {
-  const { request, req, ctx } = serving;
+const sendHeaders = (execution: RequestExecution, target: ReachableTarget): OutgoingHttpHeaders => {
+  const { request, req, ctx } = execution;
   const names = ctx.wire.headers;
-  const headers = passedHeaders(req);
+  const headers = forwardedHeaders(req);
   delete headers.expect;
   if (ctx.keysRequired()) {
     delete headers[CREDENTIALS_HEADER];
@@ -32,12 +32,12 @@
 };
 
 const logSend = (
-  serving: Serving,
+  execution: RequestExecution,
   { placed }: ReachableTarget,
   result: string,
   ms: number,
 ): void => {
-  const { request, ctx, sends } = serving;
+  const { request, ctx, sends } = execution;
   const { load } = placed;
   ctx.log.write('send', request.id, () => ({
     target: placed.id,
@@ -47,7 +47,7 @@
     busy: load.own + load.others,
     slots: placed.slots,
     loadAgeMs: load.reportedAt === undefined ? undefined : Math.round(ctx.now() - load.reportedAt),
-    asked: serving.asked,
+    asked: execution.asked,
   }));
 };
 
@@ -55,63 +55,63 @@
 export interface Send {
   outcome: Promise<AttemptOutcome>;
   /** True if the target had been sent the object before. */
-  remembered: boolean;
+  likelyCached: boolean;
   cancel: () => void;
 }
 
 /** How long a send takes at most, as far as known, ms. */
-const expectedMs = ({ request, ctx }: Serving, remembered: boolean): number => {
-  const { longest } = ctx.registry.of(request.service);
-  return overdueAfter(longest[remembered ? 'remembered' : 'first'].now(ctx.now())) ?? Infinity;
+const expectedMs = ({ request, ctx }: RequestExecution, likelyCached: boolean): number => {
+  const { longest } = ctx.registry.forService(request.service);
+  return overdueAfter(longest[likelyCached ? 'cached' : 'uncached'].now(ctx.now())) ?? Infinity;
 };
 
 /** Sends to one target. */
-export const startSend = (serving: Serving, target: ReachableTarget): Send => {
-  const { request, ctx } = serving;
+export const startSend = (execution: RequestExecution, target: ReachableTarget): Send => {
+  const { request, ctx } = execution;
   const { placed } = target;
   const connections = target.connections();
   const sentAt = ctx.now();
-  connections.closeStale(repeatable(request.route.kind) ? 'may-repeat' : 'at-most-once');
+  connections.closeStaleConnections(repeatable(request.route.kind) ? 'may-repeat' : 'at-most-once');
   const isCold = placed.coldUntil > sentAt;
   if (isCold) placed.coldSends.add(sentAt);
-  serving.countSend(placed.id);
-  const remembered = placed.objects.has(request.key);
-  const sent = { remembered, busy: placed.load.busyAt(sentAt) };
+  execution.countSend(placed.id);
+  const likelyCached = placed.objects.has(request.key);
+  const sent = { likelyCached, busy: placed.load.busyAt(sentAt) };
   placed.load.own += 1;
-  const endSend = placed.unanswered.begin(sentAt, expectedMs(serving, remembered && !isCold));
+  const endSend = placed.unanswered.begin(sentAt, expectedMs(execution, likelyCached && !isCold));
   placed.objects.note(request.key);
-  const parent = trace.setSpan(context.active(), serving.span);
+  const parent = trace.setSpan(context.active(), execution.span);
   const span = spans.startSpan('gateway.send', { kind: SpanKind.CLIENT }, parent);
   const attempt = sendAttempt({
     host: target.host,
     port: target.port,
     method: request.method,
     path: request.path,
-    headers: sendHeaders(serving, target),
+    headers: sendHeaders(execution, target),
     body: request.body,
     requestId: request.id,
     timeoutMs: request.finalAt - sentAt,
     connections,
     wire: ctx.wire,
-    heard: (statement, source) => hearStatement({ statement, source, sentAt }, placed, ctx),
+    onStatement: (statement, source) => applyStatement({ statement, source, sentAt }, placed, ctx),
   });
-  serving.await(attempt);
+  execution.setCurrentAttempt(attempt);
   const outcome = attempt.outcome.then((result) => {
     placed.load.own -= 1;
     const silent = placed.unanswered.silentAt(ctx.now());
     endSend(result.kind === 'lost' ? 'lost' : 'answered', ctx.now());
     const tookMs = ctx.now() - sentAt;
-    learn(placed, result, tookMs, { ...sent, silent }, ctx.now());
+    recordOutcome(placed, result, tookMs, { ...sent, silent }, ctx.now());
     if (result.kind === 'answer') {
-      const { longest } = ctx.registry.of(request.service);
-      longest[remembered ? 'remembered' : 'first'].take(tookMs, ctx.now());
+      const { longest } = ctx.registry.forService(request.service);
+      longest[likelyCached ? 'cached' : 'uncached'].take(tookMs, ctx.now());
     }
-    if (result.kind === 'not-run' && !remembered) placed.objects.forget(request.key);
+    if (result.kind === 'not-run' && !likelyCached) placed.objects.forget(request.key);
     span.end();
     const name = result.kind === 'answer' ? String(result.status) : result.reason;
     ctx.metrics.attempts.inc({ result: result.kind === 'answer' ? 'answer' : result.reason });
-    if (name !== '200') logSend(serving, target, name, tookMs);
+    if (name !== '200') logSend(execution, target, name, tookMs);
     return result;
   });
-  return { outcome, remembered, cancel: () => attempt.cancel('timeout') };
+  return { outcome, likelyCached, cancel: () => attempt.cancel('timeout') };
 };
--- a/packages/gateway/src/requests/serve.ts
+++ b/packages/gateway/src/requests/serve.ts
@@ -11,22 +11,22 @@
 import type { ReachableTarget } from '../targets/registry';
 import { answerOwn, relay } from './answers';
 import type { CallerRequest } from './callerRequest';
-import { LEAST_SEND_MS, silentAfter, worthRepeating } from './repeatPolicy';
-import { takeEvidence, TRY_AGAIN_MS } from './crashEvidence';
+import { MIN_SEND_TIME_MS, retryTimeoutMs, shouldRetry } from './retryPolicy';
+import { recordCrashEvidence, QUARANTINE_RETRY_AFTER_MS } from './crashEvidence';
 import type { Send } from './send';
 import { startSend } from './send';
 import type { ServeContext, ServeOutcome } from './serving';
-import { Serving } from './serving';
+import { RequestExecution } from './serving';
 
-type TargetAnswer = Extract<AttemptOutcome, { kind: 'answer' }>;
+type TargetResponse = Extract<AttemptOutcome, { kind: 'answer' }>;
 
 const localityOf = ({ route }: CallerRequest): Locality =>
   route.kind === 'download' ? 'near' : 'balanced';
 
 /** Chooses the next target, or says why there is none. */
-const choose = (serving: Serving) => {
-  const { request, ctx, tried } = serving;
-  const { pool, rankings } = ctx.registry.of(request.service);
+const chooseTarget = (execution: RequestExecution) => {
+  const { request, ctx, tried } = execution;
+  const { pool, rankings } = ctx.registry.forService(request.service);
   const { route } = request;
   return place(
     {
@@ -35,7 +35,7 @@
       homeRegions: request.homeRegions,
       objectiveMs: route.latencyObjectiveMs,
       lateAlready: request.waitedBeforeMs > (route.latencyObjectiveMs ?? Infinity),
-      urgent: serving.urgent,
+      urgent: execution.urgent,
       tried,
       now: ctx.now(),
     },
@@ -48,65 +48,68 @@
  * Takes the place in a limited target's pace when the target is chosen: until
  * the request is sent, others may be placed.
  */
-const claim = (
+const consumeRateLimit = (
   target: ReachableTarget | undefined,
-  { ctx }: Serving,
+  { ctx }: RequestExecution,
 ): ReachableTarget | undefined => {
   target?.placed.selfReport.limit.take(ctx.now());
   return target;
 };
 
 /** The target of one more send, if the request, its time and the budget allow one. */
-const nextTarget = (serving: Serving, outcome: AttemptOutcome): ReachableTarget | undefined => {
-  const { request, ctx, sends } = serving;
-  if (serving.ended || !serving.maySendMore || serving.quarantined) return undefined;
-  if (!worthRepeating(request.route.kind, outcome)) return undefined;
-  if (request.finalAt - ctx.now() < LEAST_SEND_MS) return undefined;
-  const choice = choose(serving);
+const chooseRetryTarget = (
+  execution: RequestExecution,
+  outcome: AttemptOutcome,
+): ReachableTarget | undefined => {
+  const { request, ctx, sends } = execution;
+  if (execution.ended || !execution.maySendMore || execution.quarantined) return undefined;
+  if (!shouldRetry(request.route.kind, outcome)) return undefined;
+  if (request.finalAt - ctx.now() < MIN_SEND_TIME_MS) return undefined;
+  const choice = chooseTarget(execution);
   if (choice.kind === 'rejected') return undefined;
-  const target = ctx.registry.reach(choice.target.id);
+  const target = ctx.registry.get(choice.target.id);
   // A send that reached nobody put no load on any target.
-  const free = outcome.kind === 'not-run' && outcome.reason === 'unreachable';
+  const exemptFromBudget = outcome.kind === 'not-run' && outcome.reason === 'unreachable';
   const granted =
-    target && (free || ctx.budgetOf(request.service).spend(ctx.now(), ctx.fleetSize()));
+    target && (exemptFromBudget || ctx.budgetOf(request.service).spend(ctx.now(), ctx.fleetSize()));
   ctx.metrics.repeats.inc({ granted: granted ? 'yes' : 'no' });
   if (!granted) ctx.log.write('repeat-refused', request.id, { reason: 'budget', sends });
-  return granted ? claim(target, serving) : undefined;
+  return granted ? consumeRateLimit(target, execution) : undefined;
 };
 
-const SILENT: AttemptOutcome = { kind: 'lost', reason: 'timeout' };
+const TIMED_OUT: AttemptOutcome = { kind: 'lost', reason: 'timeout' };
 
 /** Waits until a send has been silent for too long; the next target then, if it may go there. */
-const nextAfterSilence = async (
-  serving: Serving,
+const chooseTargetAfterTimeout = async (
+  execution: RequestExecution,
   send: Send,
   { placed }: ReachableTarget,
 ): Promise<ReachableTarget | undefined> => {
-  const { request, ctx } = serving;
-  if (!repeatable(request.route.kind) || !serving.maySendMore) return undefined;
-  const { longest } = ctx.registry.of(request.service);
+  const { request, ctx } = execution;
+  if (!repeatable(request.route.kind) || !execution.maySendMore) return undefined;
+  const { longest } = ctx.registry.forService(request.service);
   const now = ctx.now();
   const cold = placed.coldUntil > now;
-  const waitMs = silentAfter(request.finalAt - now, {
-    send: longest[send.remembered && !cold ? 'remembered' : 'first'].now(now),
-    repeat: longest.first.now(now),
+  const waitMs = retryTimeoutMs(request.finalAt - now, {
+    send: longest[send.likelyCached && !cold ? 'cached' : 'uncached'].now(now),
+    retry: longest.uncached.now(now),
   });
   if (waitMs === undefined) return undefined;
   let timer: NodeJS.Timeout | undefined;
-  const silence = new Promise<'silent'>((resolve) => {
+  const timeout = new Promise<'silent'>((resolve) => {
     timer = setTimeout(() => resolve('silent'), waitMs);
   });
-  const first = await Promise.race([send.outcome, silence]);
+  const first = await Promise.race([send.outcome, timeout]);
   clearTimeout(timer);
-  return first === 'silent' ? nextTarget(serving, SILENT) : undefined;
+  return first === 'silent' ? chooseRetryTarget(execution, TIMED_OUT) : undefined;
 };
 
 /** A caller whose targets refused or could not be reached may come back after this, ms. */
 const REFUSED_RETRY_AFTER_MS = 150;
 
 /** What placing saw, for the log: the targets, how old their reports are, and the versions in force. */
-const seenBy = ({ request, ctx }: Serving) => {
-  const { pool, rankings } = ctx.registry.of(request.service);
+const placementDetails = ({ request, ctx }: RequestExecution) => {
+  const { pool, rankings } = ctx.registry.forService(request.service);
   return {
     targets: describeTargets(request.key, localityOf(request), pool, rankings, ctx.now()),
     known: pool.targets.length,
@@ -114,8 +117,12 @@
   };
 };
 
-const reject = (serving: Serving, reason: string, retryAfterMs: number): ServeOutcome => {
-  const { request, res, ctx, sends } = serving;
+const reject = (
+  execution: RequestExecution,
+  reason: string,
+  retryAfterMs: number,
+): ServeOutcome => {
+  const { request, res, ctx, sends } = execution;
   ctx.metrics.rejections.inc({ reason });
   ctx.log.write('rejected', request.id, () => ({
     reason,
@@ -126,65 +133,66 @@
     customer: request.customer?.name,
     objectiveMs: request.route.latencyObjectiveMs,
     waitedBeforeMs: Math.round(request.waitedBeforeMs),
-    ...seenBy(serving),
+    ...placementDetails(execution),
   }));
   answerOwn(res, { status: 503, message: `not run: ${reason}`, retryAfterMs });
   return 'rejected';
 };
 
 /** The final answer when time has run out. */
-const timeOut = (serving: Serving): ServeOutcome => {
-  const { request, ctx } = serving;
+const timeOut = (execution: RequestExecution): ServeOutcome => {
+  const { request, ctx } = execution;
   ctx.log.write('timed-out', request.id, {
-    sends: serving.sends,
-    tried: [...serving.tried],
+    sends: execution.sends,
+    tried: [...execution.tried],
     waitedMs: Math.round(ctx.now() - request.arrivedAt),
   });
-  serving.endNow('timed-out');
+  execution.abort('timed-out');
   return 'timed-out';
 };
 
 /** The final answer after the last send. */
 const finish = async (
-  serving: Serving,
+  execution: RequestExecution,
   outcome: AttemptOutcome,
   mayHaveRun: boolean,
 ): Promise<ServeOutcome> => {
-  const { request, res, ctx } = serving;
+  const { request, res, ctx } = execution;
   if (outcome.kind === 'answer')
     return (await relay(res, outcome)) === 'complete' ? 'answered' : 'failed';
   if (outcome.kind === 'not-run' && !mayHaveRun)
-    return reject(serving, outcome.reason, REFUSED_RETRY_AFTER_MS);
+    return reject(execution, outcome.reason, REFUSED_RETRY_AFTER_MS);
   const { reason } = outcome;
-  if (reason === 'timeout') return timeOut(serving);
-  ctx.log.write('failed', request.id, { reason, sends: serving.sends, mayHaveRun });
+  if (reason === 'timeout') return timeOut(execution);
+  ctx.log.write('failed', request.id, { reason, sends: execution.sends, mayHaveRun });
   answerOwn(res, { status: 502, message: `no usable answer: ${reason}` });
   return 'failed';
 };
 
 /** Sends until there is an answer, nothing more may be sent, or the request has ended. */
-const sendUntilAnswered = async (serving: Serving): Promise<ServeOutcome> => {
-  if (serving.quarantined) return reject(serving, 'quarantined', TRY_AGAIN_MS);
-  const choice = choose(serving);
-  if (choice.kind === 'rejected') return reject(serving, choice.reason, choice.retryAfterMs);
-  let target = claim(serving.ctx.registry.reach(choice.target.id), serving);
+const sendUntilAnswered = async (execution: RequestExecution): Promise<ServeOutcome> => {
+  if (execution.quarantined) return reject(execution, 'quarantined', QUARANTINE_RETRY_AFTER_MS);
+  const choice = chooseTarget(execution);
+  if (choice.kind === 'rejected') return reject(execution, choice.reason, choice.retryAfterMs);
+  let target = consumeRateLimit(execution.ctx.registry.get(choice.target.id), execution);
   let mayHaveRun = false;
-  let failure: TargetAnswer | undefined;
+  let lastResponse: TargetResponse | undefined;
   while (target) {
-    const send = startSend(serving, target);
-    const afterSilence = await nextAfterSilence(serving, send, target);
-    if (afterSilence) send.cancel();
+    const send = startSend(execution, target);
+    const targetAfterTimeout = await chooseTargetAfterTimeout(execution, send, target);
+    if (targetAfterTimeout) send.cancel();
     const outcome = await send.outcome;
-    await takeEvidence(serving, target, outcome);
-    if (serving.ended) return serving.ended;
+    await recordCrashEvidence(execution, target, outcome);
+    if (execution.ended) return execution.ended;
     mayHaveRun = mayHaveRun || outcome.kind !== 'not-run';
-    if (outcome.kind === 'answer') failure = outcome;
-    if (outcome.kind === 'not-run' && outcome.reason === 'unreachable') serving.countUnreached();
-    target = afterSilence ?? nextTarget(serving, outcome);
+    if (outcome.kind === 'answer') lastResponse = outcome;
+    if (outcome.kind === 'not-run' && outcome.reason === 'unreachable')
+      execution.countUnreachableSend();
+    target = targetAfterTimeout ?? chooseRetryTarget(execution, outcome);
     // A target's own failure is a better answer than none from the next one.
-    if (!target) return finish(serving, failure ?? outcome, mayHaveRun);
+    if (!target) return finish(execution, lastResponse ?? outcome, mayHaveRun);
   }
-  return reject(serving, 'no-target', REFUSED_RETRY_AFTER_MS);
+  return reject(execution, 'no-target', REFUSED_RETRY_AFTER_MS);
 };
 
 /** Serves one request to its end; never rejects. */
@@ -195,23 +203,23 @@
   ctx: ServeContext,
   span: Span,
 ): Promise<ServeOutcome> => {
-  const serving = new Serving(request, req, res, ctx, span);
+  const execution = new RequestExecution(request, req, res, ctx, span);
   ctx.budgetOf(request.service).earn(ctx.now());
-  const dueMs = Math.max(0, request.finalAt - ctx.now());
+  const timeLeftMs = Math.max(0, request.finalAt - ctx.now());
   const timer = setTimeout(() => {
-    if (!res.headersSent) timeOut(serving);
-  }, dueMs);
-  const left = () => {
+    if (!res.headersSent) timeOut(execution);
+  }, timeLeftMs);
+  const onDisconnect = () => {
     if (res.writableFinished) return;
     ctx.log.write('caller-left', request.id, {
-      sends: serving.sends,
+      sends: execution.sends,
       waitedMs: Math.round(ctx.now() - request.arrivedAt),
       allowedMs: Math.round(request.finalAt - request.arrivedAt),
     });
-    serving.endNow('caller-left');
+    execution.abort('caller-left');
   };
-  res.once('close', left);
-  const outcome = await sendUntilAnswered(serving);
+  res.once('close', onDisconnect);
+  const outcome = await sendUntilAnswered(execution);
   clearTimeout(timer);
   return outcome;
 };
--- a/packages/gateway/src/requests/serving.ts
+++ b/packages/gateway/src/requests/serving.ts
@@ -45,10 +45,10 @@
 export type ServeOutcome = 'answered' | 'rejected' | 'failed' | 'timed-out' | 'caller-left';
 
 /** Most sends that reached nobody, beside those that the route allows: half a failure domain may have gone at once. */
-const UNREACHED_MOST = 2;
+const EXTRA_SENDS = 2;
 
 /** The state of one request while it is served. */
-export class Serving {
+export class RequestExecution {
   readonly tried = new Set<TargetId>();
 
   sends = 0;
@@ -59,7 +59,7 @@
   /** Set once the caller has gone or the final answer was given. */
   ended: ServeOutcome | undefined;
 
-  private current: Attempt | undefined;
+  private currentAttempt: Attempt | undefined;
 
   constructor(
     readonly request: CallerRequest,
@@ -69,27 +69,27 @@
     /** The request's span; its sends are the span's children. */
     readonly span: Span,
   ) {
-    const { usualPriority } = ctx.registry.of(request.service);
+    const { usualPriority } = ctx.registry.forService(request.service);
     this.urgent = usualPriority.take(request.priority);
   }
 
   /** Sends that reached nobody: no connection was made. */
-  private unreached = 0;
+  private unreachable = 0;
 
-  private requestDigest: RequestDigest | undefined;
+  private cachedRequestDigest: RequestDigest | undefined;
 
-  private callerDigest: CallerDigest | undefined;
+  private cachedCallerDigest: CallerDigest | undefined;
 
   /** What is asked, whoever asks; worked out when it is first needed. */
-  get what(): RequestDigest {
-    this.requestDigest ??= requestDigestOf(this.request);
-    return this.requestDigest;
+  get requestDigest(): RequestDigest {
+    this.cachedRequestDigest ??= requestDigestOf(this.request);
+    return this.cachedRequestDigest;
   }
 
   /** What is asked, and by whom. The caller's part is needed only while a crash is suspected. */
   get asked(): AskedRequest {
-    this.callerDigest ??= callerDigestOf(this.request);
-    return { request: this.what, caller: this.callerDigest };
+    this.cachedCallerDigest ??= callerDigestOf(this.request);
+    return { request: this.requestDigest, caller: this.cachedCallerDigest };
   }
 
   /** True when the request must not be sent to a target, as it crashes them. */
@@ -105,27 +105,27 @@
   }
 
   /** Notes that a send reached nobody. */
-  countUnreached(): void {
-    this.unreached += 1;
+  countUnreachableSend(): void {
+    this.unreachable += 1;
   }
 
   /** True while one more send keeps to the route's limit; those that reached nobody count only against runaway tries. */
   get maySendMore(): boolean {
     const { maxAttempts } = this.request.route;
-    return this.sends - this.unreached < maxAttempts && this.sends < maxAttempts + UNREACHED_MOST;
+    return this.sends - this.unreachable < maxAttempts && this.sends < maxAttempts + EXTRA_SENDS;
   }
 
   /** Notes the send that is under way. */
-  await(attempt: Attempt): void {
-    this.current = attempt;
+  setCurrentAttempt(attempt: Attempt): void {
+    this.currentAttempt = attempt;
   }
 
   /** Ends the request from outside its sends: the caller left, or the answer is due. */
-  endNow(outcome: 'timed-out' | 'caller-left'): void {
+  abort(outcome: 'timed-out' | 'caller-left'): void {
     if (this.ended) return;
     this.ended = outcome;
     if (outcome === 'timed-out' && !this.res.headersSent)
       answerOwn(this.res, { status: 504, message: 'no answer in time' });
-    this.current?.cancel(outcome === 'timed-out' ? 'timeout' : 'cancelled');
+    this.currentAttempt?.cancel(outcome === 'timed-out' ? 'timeout' : 'cancelled');
   }
 }
--- a/packages/gateway/src/requests/targetHealth.ts
+++ b/packages/gateway/src/requests/targetHealth.ts
@@ -7,66 +7,67 @@
 import type { AttemptOutcome } from '../targets/attempt';
 
 /** First pause after a failed connection or a lost answer, ms; doubled per failure in a row. */
-const AVOID_FIRST_MS = 400;
+const INITIAL_BACKOFF_MS = 400;
 /** Longest such pause, ms: a target that came back is found again within this. */
-const AVOID_MOST_MS = 3000;
+const MAX_BACKOFF_MS = 3000;
 /** Lost answers in a row from which the target is left alone; one alone may be the connection's. */
-const LOST_IN_A_ROW = 2;
+const MIN_CONSECUTIVE_LOSSES = 2;
 /** A target at whose address another one answered is gone for good; its entry follows within seconds. */
-const GONE_MS = 60_000;
+const WRONG_TARGET_BACKOFF_MS = 60_000;
 /** A refusal without a load report is taken as "full" for this long, ms. */
-const REFUSED_PAUSE_MS = 150;
+const REFUSAL_BACKOFF_MS = 150;
 
 /** How the target stood when a request was sent. */
-export interface SentState {
+export interface SendState {
   /** It had been sent the object before. */
-  remembered: boolean;
+  likelyCached: boolean;
   /** Requests it had, as far as known. */
   busy: number;
   /** True if, when the send ended, the target had answered nothing since it was made, though one was overdue. */
   silent?: boolean;
 }
 
-const avoid = (target: PlacedTarget, now: number): void => {
-  target.avoidUntil = now + Math.min(AVOID_MOST_MS, AVOID_FIRST_MS * 2 ** (target.failures - 1));
+const backOff = (target: PlacedTarget, now: number): void => {
+  target.avoidUntil =
+    now + Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (target.failures - 1));
 };
 
-const learnAnswer = (target: PlacedTarget, ms: number, sent: SentState): void => {
+const recordResponse = (target: PlacedTarget, ms: number, sent: SendState): void => {
   target.failures = 0;
-  if (sent.remembered) learnAnswerMs(target, ms, sent.busy);
+  if (sent.likelyCached) learnAnswerMs(target, ms, sent.busy);
 };
 
-const learnNotRun = (
+const recordNotRun = (
   target: PlacedTarget,
   outcome: Extract<AttemptOutcome, { kind: 'not-run' }>,
   now: number,
 ): void => {
   if (outcome.reason === 'wrong-target') {
-    target.avoidUntil = now + GONE_MS;
+    target.avoidUntil = now + WRONG_TARGET_BACKOFF_MS;
   } else if (outcome.reason === 'unreachable') {
     target.failures += 1;
-    avoid(target, now);
+    backOff(target, now);
   } else if (!outcome.load) {
-    target.avoidUntil = Math.max(target.avoidUntil, now + REFUSED_PAUSE_MS);
+    target.avoidUntil = Math.max(target.avoidUntil, now + REFUSAL_BACKOFF_MS);
   }
 };
 
 /** Takes the outcome of one send that took `ms`. */
-export const learn = (
+export const recordOutcome = (
   target: PlacedTarget,
   outcome: AttemptOutcome,
   ms: number,
-  sent: SentState,
+  sent: SendState,
   now: number,
 ): void => {
   if ('load' in outcome && outcome.load)
     target.load.takeReport(outcome.load.running, outcome.load.waiting, now);
   if (outcome.kind === 'answer') {
-    learnAnswer(target, ms, sent);
+    recordResponse(target, ms, sent);
   } else if (outcome.kind === 'not-run') {
-    learnNotRun(target, outcome, now);
+    recordNotRun(target, outcome, now);
   } else if (outcome.reason !== 'cancelled') {
-    target.failures += sent.silent ? LOST_IN_A_ROW : 1;
-    if (target.failures >= LOST_IN_A_ROW) avoid(target, now);
+    target.failures += sent.silent ? MIN_CONSECUTIVE_LOSSES : 1;
+    if (target.failures >= MIN_CONSECUTIVE_LOSSES) backOff(target, now);
   }
 };
--- a/packages/gateway/src/requests/targetStatements.ts
+++ b/packages/gateway/src/requests/targetStatements.ts
@@ -1,27 +1,27 @@
 /** Takes what targets say of themselves in their answers. */
 import type { HeardLimit, PlacedTarget } from '@cardamomladder/steering';
-import type { AnswerSource } from '../targets/attempt';
+import type { ResponseSource } from '../targets/attempt';
 import type { TargetStatement } from '../wireNames';
 import type { ServeContext } from './serving';
 
 /** A statement and the answer that it came with. */
-export interface HeardStatement {
+export interface ReceivedStatement {
   statement: TargetStatement;
-  source: AnswerSource;
+  source: ResponseSource;
   /** When the request was sent that this answers; steady clock, ms. */
   sentAt: number;
 }
 
-type HearContext = Pick<ServeContext, 'registry' | 'log' | 'now'>;
+type StatementContext = Pick<ServeContext, 'registry' | 'log' | 'now'>;
 
-const hearLimit = (
-  heard: HeardLimit,
+const applyLimit = (
+  received: HeardLimit,
   { id, selfReport }: PlacedTarget,
-  { log, now }: HearContext,
+  { log, now }: StatementContext,
 ): void => {
   const { limit } = selfReport;
   const before = limit.perSecond;
-  if (!limit.hear(heard, now())) return;
+  if (!limit.hear(received, now())) return;
   log.write('target-limit', undefined, {
     target: id,
     perSecond: limit.perSecond,
@@ -30,17 +30,17 @@
   });
 };
 
-const hearLeaving = (target: PlacedTarget, { registry, log }: HearContext): void => {
-  if (!registry.takeLeaving(target)) return;
+const applyLeaving = (target: PlacedTarget, { registry, log }: StatementContext): void => {
+  if (!registry.markLeaving(target)) return;
   log.write('target-leaving', undefined, { target: target.id, believedLeaving: target.leaving });
 };
 
 /** No pause lasts longer, ms: a target that asks for more is asked again. */
-const REST_MOST_MS = 3_600_000;
+const MAX_PAUSE_MS = 3_600_000;
 
-const hearRest = (restMs: number, target: PlacedTarget, { log, now }: HearContext): void => {
+const applyPause = (restMs: number, target: PlacedTarget, { log, now }: StatementContext): void => {
   const { id, selfReport } = target;
-  const until = now() + Math.min(restMs, REST_MOST_MS);
+  const until = now() + Math.min(restMs, MAX_PAUSE_MS);
   // A shorter pause that is asked for later does not end one that lasts.
   selfReport.restUntil = Math.max(selfReport.restUntil, until);
   const sentLately = selfReport.limit.sentLately(now());
@@ -48,13 +48,13 @@
 };
 
 /** Takes a statement of a target; what it changes is logged. */
-export const hearStatement = (
-  { statement, source, sentAt }: HeardStatement,
+export const applyStatement = (
+  { statement, source, sentAt }: ReceivedStatement,
   target: PlacedTarget,
-  ctx: HearContext,
+  ctx: StatementContext,
 ): void => {
   const { leaving, restMs, limitPerSecond: perSecond } = statement;
-  hearLimit({ perSecond, ran: source === 'run', sentAt }, target, ctx);
-  if (leaving) hearLeaving(target, ctx);
-  if (restMs !== undefined) hearRest(restMs, target, ctx);
+  applyLimit({ perSecond, ran: source === 'run', sentAt }, target, ctx);
+  if (leaving) applyLeaving(target, ctx);
+  if (restMs !== undefined) applyPause(restMs, target, ctx);
 };
--- a/packages/gateway/src/requests/waitedBefore.ts
+++ b/packages/gateway/src/requests/waitedBefore.ts
@@ -7,16 +7,16 @@
 import type { RouteName } from '@cardamomladder/types';
 
 /** By how much callers of a route differ in the time they state at first, as a part of the longest. */
-const PATIENCE_DIFFERS = 0.3;
+const TIMEOUT_VARIATION = 0.3;
 
 /** The longest time stated per route. Times in ms. */
 export class WaitedBefore {
-  private readonly longest = new Map<RouteName, number>();
+  private readonly longestTimeoutMs = new Map<RouteName, number>();
 
   /** Takes the time that an attempt states, and says how long its caller has surely waited before. */
   take(route: RouteName, statedMs: number): number {
-    const longest = Math.max(this.longest.get(route) ?? 0, statedMs);
-    this.longest.set(route, longest);
-    return Math.max(0, longest * (1 - PATIENCE_DIFFERS) - statedMs);
+    const longestMs = Math.max(this.longestTimeoutMs.get(route) ?? 0, statedMs);
+    this.longestTimeoutMs.set(route, longestMs);
+    return Math.max(0, longestMs * (1 - TIMEOUT_VARIATION) - statedMs);
   }
 }
--- a/packages/gateway/src/targets/__fixtures__/send.ts
+++ b/packages/gateway/src/targets/__fixtures__/send.ts
@@ -26,7 +26,7 @@
 export const beginSend = (
   port: number,
   connections: TargetConnections,
-  heard: AttemptRequest['heard'] = () => {},
+  onStatement: AttemptRequest['onStatement'] = () => {},
 ): Attempt =>
   sendAttempt({
     host: '127.0.0.1',
@@ -39,5 +39,5 @@
     timeoutMs: 2000,
     connections,
     wire,
-    heard,
+    onStatement,
   });
--- a/packages/gateway/src/targets/__tests__/attempt.test.ts
+++ b/packages/gateway/src/targets/__tests__/attempt.test.ts
@@ -11,7 +11,7 @@
 const now = () => performance.now();
 
 /** A server that answers any request with these bytes and closes the connection. */
-const answering = async (bytes: string): Promise<number> => {
+const startServer = async (bytes: string): Promise<number> => {
   const server = createServer((socket) => {
     socket.on('error', () => {});
     socket.once('data', () => socket.end(bytes));
@@ -23,16 +23,20 @@
   return (server.address() as AddressInfo).port;
 };
 /** What is heard of a target that answers so: kinds of answers. */
-const heardOf = async (status: string, headers: string[], body = BODY): Promise<string[]> => {
+const statementSources = async (
+  status: string,
+  headers: string[],
+  body = BODY,
+): Promise<string[]> => {
   const length = `content-length: ${BODY.length}`;
   const text = [`HTTP/1.1 ${status}`, length, ...headers].join('\r\n');
-  const port = await answering(`${text}\r\n\r\n${body}`);
+  const port = await startServer(`${text}\r\n\r\n${body}`);
   const connections = new TargetConnections(2, now, new IdleLimit());
-  const heard: string[] = [];
-  const { outcome } = beginSend(port, connections, (_, source) => heard.push(source));
+  const sources: string[] = [];
+  const { outcome } = beginSend(port, connections, (_, source) => sources.push(source));
   await outcome;
   connections.destroy();
-  return heard;
+  return sources;
 };
 
 afterEach(() => closing.splice(0).forEach((close) => close()));
@@ -41,17 +45,17 @@
   it('is taken from every kind of answer of its own, and from no other', async () => {
     // Guards against words that are read from whole successes only, or believed of another target.
     const own = ['x-id: r', 'x-sig: s'];
-    const heard = {
-      success: await heardOf('200 OK', own),
-      failure: await heardOf('500 Failed', own),
-      'cut off': await heardOf('200 OK', own, 'x'),
-      refusal: await heardOf('503 Full', ['x-not-run: 1', 'x-id: r']),
-      'refusal that names no request': await heardOf('503 Full', ['x-not-run: 1']),
-      'without its signature': await heardOf('200 OK', ['x-id: r']),
-      'to another request': await heardOf('200 OK', ['x-id: other', 'x-sig: s']),
-      'of another target': await heardOf('421 Misdirected', ['x-not-run: 1', 'x-id: r']),
+    const sourcesByResponse = {
+      success: await statementSources('200 OK', own),
+      failure: await statementSources('500 Failed', own),
+      'cut off': await statementSources('200 OK', own, 'x'),
+      refusal: await statementSources('503 Full', ['x-not-run: 1', 'x-id: r']),
+      'refusal that names no request': await statementSources('503 Full', ['x-not-run: 1']),
+      'without its signature': await statementSources('200 OK', ['x-id: r']),
+      'to another request': await statementSources('200 OK', ['x-id: other', 'x-sig: s']),
+      'of another target': await statementSources('421 Misdirected', ['x-not-run: 1', 'x-id: r']),
     };
-    expect(heard).toMatchInlineSnapshot(`
+    expect(sourcesByResponse).toMatchInlineSnapshot(`
       {
         "cut off": [
           "run",
--- a/packages/gateway/src/targets/__tests__/connections.test.ts
+++ b/packages/gateway/src/targets/__tests__/connections.test.ts
@@ -13,7 +13,7 @@
 let port: number;
 let accepted: number;
 /** Requests that one connection serves before it is reset at the next. */
-let servedEach: number;
+let requestsPerConnection: number;
 let now: number;
 let idleLimit: IdleLimit;
 let connections: TargetConnections;
@@ -24,21 +24,21 @@
   socket.on('error', () => {});
   socket.on('data', () => {
     served += 1;
-    if (served <= servedEach) socket.write(ANSWER);
+    if (served <= requestsPerConnection) socket.write(ANSWER);
     else socket.resetAndDestroy();
   });
 };
 /** Sends a request on a kept connection, if there is one. */
-const begin = (): Attempt => beginSend(port, connections);
+const startSend = (): Attempt => beginSend(port, connections);
 const send = async (use: 'may-repeat' | 'at-most-once' = 'may-repeat'): Promise<string> => {
-  connections.closeStale(use);
-  const result = await begin().outcome;
+  connections.closeStaleConnections(use);
+  const result = await startSend().outcome;
   return result.kind === 'answer' ? String(result.status) : result.reason;
 };
 
 beforeEach(async () => {
   accepted = 0;
-  servedEach = Infinity;
+  requestsPerConnection = Infinity;
   now = 0;
   server = createServer(serveConnection);
   await new Promise<void>((resolve) => {
@@ -68,29 +68,29 @@
     // Symptom: one request in ten fails with a closed connection. Sequence: a
     // target forgets idle connections after two seconds; each request after a
     // pause is reset. Cause: the same idle time was taken to be safe for good.
-    servedEach = 1;
+    requestsPerConnection = 1;
     await send();
     now += 3000;
     expect(await send()).toBe('closed');
-    servedEach = Infinity;
+    requestsPerConnection = Infinity;
     await send();
     now += 2000;
     const before = accepted;
     expect(await send()).toBe('200');
     expect(accepted).toBe(before + 1);
     now += 60_000;
-    expect(idleLimit.now(now)).toBe(8500);
+    expect(idleLimit.current(now)).toBe(8500);
   });
 
   it('teach nothing when the caller left', async () => {
     await send();
     now += 3000;
-    const attempt = begin();
+    const attempt = startSend();
     attempt.cancel('cancelled');
     await attempt.outcome;
     await new Promise((resolve) => {
       setTimeout(resolve, 20);
     });
-    expect(idleLimit.now(now)).toBe(8500);
+    expect(idleLimit.current(now)).toBe(8500);
   });
 });
--- a/packages/gateway/src/targets/__tests__/crashWitness.test.ts
+++ b/packages/gateway/src/targets/__tests__/crashWitness.test.ts
@@ -22,10 +22,10 @@
 let port: number;
 let connections: TargetConnections;
 let crashes: TargetCrash[];
-let looks: number;
-let witness: CrashWitness;
+let refusalChecks: number;
+let detector: CrashWitness;
 
-const targetNow = (): ReachableTarget =>
+const createTarget = (): ReachableTarget =>
   ({
     host: '127.0.0.1',
     port,
@@ -33,7 +33,7 @@
     entry: { id: targetId('t-1'), startedAt: 7 } as TargetEntry,
   }) as unknown as ReachableTarget;
 /** Sends a request that the target never answers. */
-const begin = (): Attempt => beginSend(port, connections);
+const startSend = (): Attempt => beginSend(port, connections);
 const connected = async (count: number): Promise<void> => {
   while (sockets.length < count)
     await new Promise((resolve) => {
@@ -44,11 +44,11 @@
 beforeEach(async () => {
   sockets = [];
   crashes = [];
-  looks = 0;
+  refusalChecks = 0;
   connections = new TargetConnections(8, () => performance.now(), new IdleLimit());
-  witness = new CrashWitness(
+  detector = new CrashWitness(
     (host, at) => {
-      looks += 1;
+      refusalChecks += 1;
       return refusesConnections(host, at);
     },
     (crash) => crashes.push(crash),
@@ -70,20 +70,20 @@
 
 describe('a connection that closes under a request', () => {
   it('shows a crash when all of them close and new ones are refused', async () => {
-    const target = targetNow();
-    const sends = [begin(), begin()];
+    const target = createTarget();
+    const sends = [startSend(), startSend()];
     await connected(2);
     server.close();
     sockets.forEach((socket) => socket.resetAndDestroy());
     await Promise.all(sends.map((send) => send.outcome));
-    const found = await Promise.all([
-      witness.closedUnder(target, FIRST),
-      witness.closedUnder(target, SECOND),
+    const results = await Promise.all([
+      detector.checkClosedConnection(target, FIRST),
+      detector.checkClosedConnection(target, SECOND),
     ]);
-    expect(found).toEqual([true, true]);
-    expect(looks).toBe(1);
+    expect(results).toEqual([true, true]);
+    expect(refusalChecks).toBe(1);
     // One that is read later belongs to the same crash.
-    await witness.closedUnder(target, asked('third'));
+    await detector.checkClosedConnection(target, asked('third'));
     expect(crashes).toEqual([
       { run: 't-1@7', requests: [FIRST, SECOND] },
       { run: 't-1@7', requests: [asked('third')] },
@@ -95,14 +95,14 @@
     // Sequence: a busy instance reads the first close, then works on other
     // things for some ms; the look finds the target's other connections open.
     // Cause: one look, at a fixed time, decided.
-    const target = targetNow();
-    const sends = [begin(), begin()];
+    const target = createTarget();
+    const sends = [startSend(), startSend()];
     await connected(2);
     server.close();
     sockets[0].resetAndDestroy();
     setTimeout(() => sockets[1].resetAndDestroy(), 25);
     await Promise.race(sends.map((send) => send.outcome));
-    expect(await witness.closedUnder(target, FIRST)).toBe(true);
+    expect(await detector.checkClosedConnection(target, FIRST)).toBe(true);
     expect(crashes).toEqual([{ run: 't-1@7', requests: [FIRST] }]);
   });
 
@@ -110,22 +110,22 @@
     // Symptom: requests are blamed for crashes that never were. Sequence: a
     // target loses the answer to one request by a reset and goes on serving
     // the others. Cause: a reset alone was taken for the target's end.
-    const target = targetNow();
-    const sends = [begin(), begin()];
+    const target = createTarget();
+    const sends = [startSend(), startSend()];
     await connected(2);
     sockets[0].resetAndDestroy();
     await Promise.race(sends.map((send) => send.outcome));
-    expect(await witness.closedUnder(target, FIRST)).toBe(false);
-    expect({ crashes, looks }).toEqual({ crashes: [], looks: 0 });
+    expect(await detector.checkClosedConnection(target, FIRST)).toBe(false);
+    expect({ crashes, looks: refusalChecks }).toEqual({ crashes: [], looks: 0 });
   });
 
   it('shows none when the target takes a new connection', async () => {
-    const target = targetNow();
-    const send = begin();
+    const target = createTarget();
+    const send = startSend();
     await connected(1);
     sockets[0].resetAndDestroy();
     await send.outcome;
-    expect(await witness.closedUnder(target, FIRST)).toBe(false);
-    expect({ crashes, looks }).toEqual({ crashes: [], looks: 1 });
+    expect(await detector.checkClosedConnection(target, FIRST)).toBe(false);
+    expect({ crashes, looks: refusalChecks }).toEqual({ crashes: [], looks: 1 });
   });
 });
--- a/packages/gateway/src/targets/__tests__/registry.test.ts
+++ b/packages/gateway/src/targets/__tests__/registry.test.ts
@@ -48,7 +48,7 @@
     revision += 1;
     beliefs.take({ key: `t/${entry.id}`, revision, fact: { kind: 'target', target: entry } });
   };
-  const spoil = () => {
+  const invalidate = () => {
     revision += 1;
     beliefs.take({ key: `t/${ID}`, revision, fact: { kind: 'invalid', problem: 'not JSON' } });
   };
@@ -56,7 +56,7 @@
     revision += 1;
     beliefs.take({ key: `t/${ID}`, revision, removed: true });
   };
-  return { registry, put, spoil, remove };
+  return { registry, put, spoil: invalidate, remove };
 };
 
 describe('a target that starts again under its id', () => {
@@ -67,29 +67,29 @@
     // it was believed to remember.
     const { registry, put } = setUp();
     put(entryOf({ startedAt: 100 }));
-    const before = registry.reach(ID)!;
+    const before = registry.get(ID)!;
     before.placed.avoidUntil = 60_000;
     before.placed.objects.note(objectKey('o'));
     put(entryOf({ startedAt: 100, writes: 6, leaving: true }));
     put(entryOf({ startedAt: 200, writes: 1, coldForMs: 3000 }));
-    const after = registry.reach(ID)!;
+    const after = registry.get(ID)!;
     expect(after).not.toBe(before);
     expect(after.placed).toMatchObject({ leaving: false, avoidUntil: 0, coldUntil: 4000 });
     expect(after.placed.objects.has(objectKey('o'))).toBe(false);
-    expect(registry.of(serviceName('s')).pool.targets).toEqual([after.placed]);
+    expect(registry.forService(serviceName('s')).pool.targets).toEqual([after.placed]);
   });
 
   it('is told from late writes of its earlier run, and from its own', () => {
     const known = entryOf({ startedAt: 200, writes: 5 });
-    const untold = entryOf({ writes: 5 });
+    const withoutStart = entryOf({ writes: 5 });
     const orders = [
       compareRuns(undefined, known),
       compareRuns(known, entryOf({ startedAt: 200, writes: 6 })),
       compareRuns(known, entryOf({ startedAt: 200, writes: 4 })),
       compareRuns(known, entryOf({ startedAt: 100, writes: 9 })),
       compareRuns(known, entryOf({ startedAt: 300, writes: 1 })),
-      compareRuns(untold, entryOf({ writes: 1 })),
-      compareRuns(untold, entryOf({ writes: 4 })),
+      compareRuns(withoutStart, entryOf({ writes: 1 })),
+      compareRuns(withoutStart, entryOf({ writes: 4 })),
       compareRuns(entryOf({ writes: 5, leaving: true }), entryOf({ writes: 1 })),
     ];
     expect(orders).toEqual([
@@ -109,48 +109,48 @@
     put(entryOf({ writes: 3 }));
     put(entryOf({ writes: 4, leaving: true }));
     put(entryOf({ writes: 2 }));
-    expect(registry.reach(ID)!.placed.leaving).toBe(true);
+    expect(registry.get(ID)!.placed.leaving).toBe(true);
   });
 });
 
 describe('what a target said of itself', () => {
-  const nameLimit = (registry: TargetRegistry) =>
-    registry.reach(ID)!.placed.selfReport.limit.hear({ perSecond: 4, ran: true, sentAt: 0 }, 1000);
+  const reportLimit = (registry: TargetRegistry) =>
+    registry.get(ID)!.placed.selfReport.limit.hear({ perSecond: 4, ran: true, sentAt: 0 }, 1000);
 
   it('holds on while its entry is away, for the same run', () => {
     // Guards against a limit that is forgotten when an entry lapses and comes back.
     const { registry, put, remove } = setUp();
     put(entryOf({ startedAt: 100 }));
-    nameLimit(registry);
+    reportLimit(registry);
     remove();
-    expect(registry.reach(ID)).toBeUndefined();
+    expect(registry.get(ID)).toBeUndefined();
     put(entryOf({ startedAt: 100, writes: 6 }));
-    expect(registry.reach(ID)!.placed.selfReport.limit.perSecond).toBe(4);
-    registry.reach(ID)!.placed.selfReport.restUntil = 4000;
+    expect(registry.get(ID)!.placed.selfReport.limit.perSecond).toBe(4);
+    registry.get(ID)!.placed.selfReport.restUntil = 4000;
     remove();
     put(entryOf({ startedAt: 100, writes: 7 }));
-    expect(registry.reach(ID)!.placed.selfReport.restUntil).toBe(4000);
+    expect(registry.get(ID)!.placed.selfReport.restUntil).toBe(4000);
     remove();
     put(entryOf({ startedAt: 200, writes: 1 }));
-    expect(registry.reach(ID)!.placed.selfReport.limit.perSecond).toBeUndefined();
+    expect(registry.get(ID)!.placed.selfReport.limit.perSecond).toBeUndefined();
   });
 
   it('of leaving holds whatever its entry says of the same run', () => {
     // Guards against an entry that was written before the target said so, and puts it back.
     const { registry, put, remove } = setUp();
     put(entryOf({ startedAt: 100 }));
-    const { pool } = registry.of(serviceName('s'));
+    const { pool } = registry.forService(serviceName('s'));
     const { generation } = pool;
-    expect(registry.takeLeaving(registry.reach(ID)!.placed)).toBe(true);
-    expect(registry.takeLeaving(registry.reach(ID)!.placed)).toBe(false);
+    expect(registry.markLeaving(registry.get(ID)!.placed)).toBe(true);
+    expect(registry.markLeaving(registry.get(ID)!.placed)).toBe(false);
     expect(pool.generation).toBeGreaterThan(generation);
     put(entryOf({ startedAt: 100, writes: 6 }));
-    expect(registry.reach(ID)!.placed.selfReport.leaving).toBe(true);
+    expect(registry.get(ID)!.placed.selfReport.leaving).toBe(true);
     remove();
     put(entryOf({ startedAt: 100, writes: 7 }));
-    expect(registry.reach(ID)!.placed.selfReport.leaving).toBe(true);
+    expect(registry.get(ID)!.placed.selfReport.leaving).toBe(true);
     put(entryOf({ startedAt: 200, writes: 1 }));
-    expect(registry.reach(ID)!.placed.selfReport.leaving).toBe(false);
+    expect(registry.get(ID)!.placed.selfReport.leaving).toBe(false);
   });
 
   // Guards against an older copy of the store that puts a target back which had left.
@@ -160,15 +160,15 @@
     put(entryOf({ writes: 4, leaving: true }));
     remove();
     put(entryOf({ writes: 3 }));
-    expect(registry.reach(ID)!.placed.selfReport.leaving).toBe(true);
+    expect(registry.get(ID)!.placed.selfReport.leaving).toBe(true);
   });
 
   it('does not hold for a later run under its id', () => {
     const { registry, put } = setUp();
     put(entryOf({ startedAt: 100 }));
-    nameLimit(registry);
+    reportLimit(registry);
     put(entryOf({ startedAt: 200, writes: 1 }));
-    expect(registry.reach(ID)!.placed.selfReport.limit.perSecond).toBeUndefined();
+    expect(registry.get(ID)!.placed.selfReport.limit.perSecond).toBeUndefined();
   });
 });
 
--- a/packages/gateway/src/targets/__tests__/knownShares.test.ts
+++ b/packages/gateway/src/targets/__tests__/shareCache.test.ts
@@ -10,9 +10,9 @@
   targetId,
 } from '@cardamomladder/types';
 import { FleetMembers } from '../../lifecycle/fleetMembers';
-import { KnownShares } from '../knownShares';
+import { ShareCache } from '../shareCache';
 
-const TOLERATED = 13;
+const ALLOWANCE = 13;
 const TARGET = targetId('t-1');
 
 const setUp = (size: number) => {
@@ -37,16 +37,16 @@
     beliefs.remove(keyOf(i), revision);
   };
   const members = new FleetMembers(beliefs, () => at);
-  const shares = new KnownShares(
+  const shares = new ShareCache(
     () => members.list(),
-    (id, fleet, tolerated) => coldShare(id, 'i-0', fleet, tolerated),
+    (id, fleet, allowance) => coldShare(id, 'i-0', fleet, allowance),
   );
   Array.from({ length: size }, (_, i) => join(i));
-  const expected = () => coldShare(TARGET, 'i-0', members.list(), TOLERATED);
-  const pass = (ms: number) => {
+  const expected = () => coldShare(TARGET, 'i-0', members.list(), ALLOWANCE);
+  const advanceClock = (ms: number) => {
     at += ms;
   };
-  return { shares, expected, join, leave, pass, members };
+  return { shares, expected, join, leave, pass: advanceClock, members };
 };
 
 describe('the share of a cold target', () => {
@@ -55,19 +55,19 @@
     // Sequence: a share is kept, the fleet grows, and the kept share is used.
     // Cause: what is kept has to go with any change of the fleet.
     const { shares, expected, join, leave, pass, members } = setUp(2);
-    const follows = () => expect(shares.of(TARGET, TOLERATED)).toBe(expected());
-    follows();
+    const expectCurrentShare = () => expect(shares.get(TARGET, ALLOWANCE)).toBe(expected());
+    expectCurrentShare();
     join(2);
     join(3);
-    follows();
+    expectCurrentShare();
     leave(3);
-    follows();
+    expectCurrentShare();
     expect(members.size()).toBe(10);
     pass(31_000);
-    follows();
+    expectCurrentShare();
     expect(members.size()).toBe(3);
-    expect(shares.of(TARGET, 2 * TOLERATED)).toBe(
-      coldShare(TARGET, 'i-0', members.list(), 2 * TOLERATED),
+    expect(shares.get(TARGET, 2 * ALLOWANCE)).toBe(
+      coldShare(TARGET, 'i-0', members.list(), 2 * ALLOWANCE),
     );
   });
 });
--- a/packages/gateway/src/targets/attempt.ts
+++ b/packages/gateway/src/targets/attempt.ts
@@ -12,10 +12,10 @@
 /** Time to open a connection, ms: over the way there and back between any two regions, well under a caller's patience. */
 export const CONNECT_TIMEOUT_MS = 700;
 /** Answers up to this size are read whole before the caller gets any of them, so that a cut one can be asked for again. */
-export const WHOLE_ANSWER_BYTES = 1024 * 1024;
+export const MAX_BUFFERED_RESPONSE_BYTES = 1024 * 1024;
 
 /** What an answer shows of its request: it ran, it did not, or nothing that is certain. */
-export type AnswerSource = 'run' | 'refusal' | 'garbled';
+export type ResponseSource = 'run' | 'refusal' | 'garbled';
 
 /** What to send, and for how long to wait. */
 export interface AttemptRequest {
@@ -30,7 +30,7 @@
   connections: TargetConnections;
   wire: Wire;
   /** Called with what the target says of itself, as soon as an answer of its own begins, whatever becomes of the answer. */
-  heard: (statement: TargetStatement, answer: AnswerSource) => void;
+  onStatement: (statement: TargetStatement, response: ResponseSource) => void;
 }
 
 /** Why a request surely did not run. */
@@ -46,7 +46,7 @@
       head: IncomingMessage;
       chunks: Buffer[];
       /** The rest of an answer too large to hold; undefined when `chunks` is all. */
-      rest?: IncomingMessage;
+      remaining?: IncomingMessage;
       load?: LoadReport;
     }
   | { kind: 'not-run'; reason: NotRunReason; load?: LoadReport }
@@ -61,51 +61,54 @@
 
 const WRONG_TARGET = 421;
 
-const echoes = (answer: IncomingMessage, names: HeaderNames, requestId: string): boolean =>
-  answer.headers[names.requestId] === requestId;
+const echoesRequestId = (
+  response: IncomingMessage,
+  names: HeaderNames,
+  requestId: string,
+): boolean => response.headers[names.requestId] === requestId;
 
 /** True for an answer that is a target's own answer to this request. */
-const genuine = (answer: IncomingMessage, names: HeaderNames, requestId: string): boolean => {
-  if (!echoes(answer, names, requestId)) return false;
-  if (answer.headers['content-encoding'] !== undefined) return false;
-  const status = answer.statusCode ?? 0;
+const isGenuine = (response: IncomingMessage, names: HeaderNames, requestId: string): boolean => {
+  if (!echoesRequestId(response, names, requestId)) return false;
+  if (response.headers['content-encoding'] !== undefined) return false;
+  const status = response.statusCode ?? 0;
   const success = status >= 200 && status < 300;
-  return !success || answer.headers[names.signature] !== undefined;
+  return !success || response.headers[names.signature] !== undefined;
 };
 
 /** True when an answer states where it ends; one that does not ends with its connection. */
-export const isFramed = (answer: IncomingMessage): boolean =>
-  answer.headers['content-length'] !== undefined ||
-  answer.headers['transfer-encoding'] !== undefined;
+export const isFramed = (response: IncomingMessage): boolean =>
+  response.headers['content-length'] !== undefined ||
+  response.headers['transfer-encoding'] !== undefined;
 
 /**
  * A check, made once an answer has ended, of whether it is whole. Node
  * reports an unframed answer as complete also when the connection was reset,
  * which cuts it; so the connection's own end is looked at.
  */
-export const wholeCheck = (answer: IncomingMessage): (() => boolean) => {
-  const { socket } = answer;
-  return () => answer.complete && (isFramed(answer) || socket.readableEnded);
+export const completenessCheck = (response: IncomingMessage): (() => boolean) => {
+  const { socket } = response;
+  return () => response.complete && (isFramed(response) || socket.readableEnded);
 };
 
 /** A refusal counts as "not run" if it says so and doesn't name another request. */
-const refusal = (
-  answer: IncomingMessage,
+const notRunReasonOf = (
+  response: IncomingMessage,
   names: HeaderNames,
   requestId: string,
 ): NotRunReason | undefined => {
-  const echoed = answer.headers[names.requestId];
+  const echoed = response.headers[names.requestId];
   if (echoed !== undefined && echoed !== requestId) return undefined;
-  if (answer.statusCode === WRONG_TARGET) return 'wrong-target';
-  return answer.headers[names.notRun] === undefined ? undefined : 'rejected';
+  if (response.statusCode === WRONG_TARGET) return 'wrong-target';
+  return response.headers[names.notRun] === undefined ? undefined : 'rejected';
 };
 
 /** Sends the request; the outcome never rejects. */
 export const sendAttempt = (options: AttemptRequest): Attempt => {
   const { wire, requestId } = options;
-  let settle: (outcome: AttemptOutcome) => void = () => {};
+  let resolveOutcome: (outcome: AttemptOutcome) => void = () => {};
   const outcome = new Promise<AttemptOutcome>((resolve) => {
-    settle = resolve;
+    resolveOutcome = resolve;
   });
   let connected = false;
   let settled = false;
@@ -121,48 +124,49 @@
     if (result.kind === 'lost' || (result.kind === 'not-run' && result.reason === 'unreachable'))
       request.destroy();
     // Nothing is written to a connection before it is open.
-    settle(
+    resolveOutcome(
       result.kind === 'lost' && !connected ? { kind: 'not-run', reason: 'unreachable' } : result,
     );
   }
 
-  const takeAnswer = (answer: IncomingMessage): void => {
-    const statement = wire.statementOf(answer.statusCode ?? 0, answer.headers);
+  const handleResponse = (response: IncomingMessage): void => {
+    const statement = wire.statementOf(response.statusCode ?? 0, response.headers);
     const { load } = statement;
-    const notRun = refusal(answer, wire.headers, requestId);
+    const notRun = notRunReasonOf(response, wire.headers, requestId);
     if (notRun) {
       // A wrong target speaks for itself, not for the one that was meant.
-      if (notRun === 'rejected') options.heard(statement, 'refusal');
-      answer.resume();
-      answer.on('error', () => {});
+      if (notRun === 'rejected') options.onStatement(statement, 'refusal');
+      response.resume();
+      response.on('error', () => {});
       finish({ kind: 'not-run', reason: notRun, load });
       return;
     }
-    if (!genuine(answer, wire.headers, requestId)) {
-      if (echoes(answer, wire.headers, requestId)) options.heard(statement, 'garbled');
+    if (!isGenuine(response, wire.headers, requestId)) {
+      if (echoesRequestId(response, wire.headers, requestId))
+        options.onStatement(statement, 'garbled');
       finish({ kind: 'lost', reason: 'garbled' });
       return;
     }
-    options.heard(statement, 'run');
-    const status = answer.statusCode ?? 0;
+    options.onStatement(statement, 'run');
+    const status = response.statusCode ?? 0;
     const chunks: Buffer[] = [];
-    const isWhole = wholeCheck(answer);
+    const isComplete = completenessCheck(response);
     let size = 0;
     const onData = (chunk: Buffer) => {
       chunks.push(chunk);
       size += chunk.length;
-      if (size <= WHOLE_ANSWER_BYTES) return;
-      answer.removeListener('data', onData);
-      answer.pause();
-      finish({ kind: 'answer', status, head: answer, chunks, rest: answer, load });
+      if (size <= MAX_BUFFERED_RESPONSE_BYTES) return;
+      response.removeListener('data', onData);
+      response.pause();
+      finish({ kind: 'answer', status, head: response, chunks, remaining: response, load });
     };
-    answer.on('data', onData);
-    answer.on('end', () => {
-      if (isWhole()) finish({ kind: 'answer', status, head: answer, chunks, load });
+    response.on('data', onData);
+    response.on('end', () => {
+      if (isComplete()) finish({ kind: 'answer', status, head: response, chunks, load });
       else finish({ kind: 'lost', reason: 'closed' });
     });
-    answer.on('error', () => finish({ kind: 'lost', reason: 'closed' }));
-    answer.on('aborted', () => finish({ kind: 'lost', reason: 'closed' }));
+    response.on('error', () => finish({ kind: 'lost', reason: 'closed' }));
+    response.on('aborted', () => finish({ kind: 'lost', reason: 'closed' }));
   };
 
   request = httpRequest({
@@ -187,9 +191,9 @@
       clearTimeout(connectTimer);
     });
   });
-  request.on('response', takeAnswer);
+  request.on('response', handleResponse);
   request.on('error', () => {
-    if (!settled) options.connections.closedUnanswered(request);
+    if (!settled) options.connections.recordUnansweredClose(request);
     finish({ kind: 'lost', reason: 'closed' });
   });
   request.on('close', () => finish({ kind: 'lost', reason: 'closed' }));
--- a/packages/gateway/src/targets/connections.ts
+++ b/packages/gateway/src/targets/connections.ts
@@ -12,17 +12,17 @@
 import { Agent } from 'node:http';
 import type { Socket } from 'node:net';
 import type { IdleLimit } from './idleLimit';
-import { IDLE_MOST_MS } from './idleLimit';
+import { MAX_IDLE_MS } from './idleLimit';
 
 /** A reset this soon after a connection's reuse, ms, shows that the far end had forgotten it: the way there and back between any two regions. */
-const FORGOTTEN_WITHIN_MS = 150;
+const REUSE_RESET_WINDOW_MS = 150;
 /** Part of the idle time that a target announces for which a connection is kept. */
-const ANNOUNCED_PART = 0.8;
+const ANNOUNCED_TIMEOUT_FACTOR = 0.8;
 /** Most idle connections kept per target: about one per slot. */
-const IDLE_MOST = 8;
+const MAX_IDLE_CONNECTIONS = 8;
 
 /** What is kept of an idle connection. */
-interface Idle {
+interface IdleState {
   since: number;
   closeOnData: () => void;
 }
@@ -35,7 +35,7 @@
 
 /** The agent of one target. */
 export class TargetConnections extends Agent {
-  private readonly idle = new WeakMap<Socket, Idle>();
+  private readonly idle = new WeakMap<Socket, IdleState>();
 
   private readonly reuses = new WeakMap<ClientRequest, Reuse>();
 
@@ -47,11 +47,11 @@
   ) {
     super({
       keepAlive: true,
-      keepAliveMsecs: IDLE_MOST_MS,
+      keepAliveMsecs: MAX_IDLE_MS,
       maxSockets: maxConnections,
-      maxFreeSockets: IDLE_MOST,
+      maxFreeSockets: MAX_IDLE_CONNECTIONS,
       scheduling: 'lifo',
-      timeout: IDLE_MOST_MS,
+      timeout: MAX_IDLE_MS,
     });
   }
 
@@ -61,8 +61,8 @@
     if (!keep) return false;
     // Node closes at the very moment that the target announced, too late for a
     // request that is then on its way.
-    if (socket.timeout && socket.timeout < IDLE_MOST_MS)
-      socket.setTimeout(socket.timeout * ANNOUNCED_PART);
+    if (socket.timeout && socket.timeout < MAX_IDLE_MS)
+      socket.setTimeout(socket.timeout * ANNOUNCED_TIMEOUT_FACTOR);
     const closeOnData = () => socket.destroy();
     this.idle.set(socket, { since: this.now(), closeOnData });
     socket.on('data', closeOnData);
@@ -81,7 +81,7 @@
   }
 
   /** True while at least one connection to the target is open. */
-  get anyOpen(): boolean {
+  get hasOpenConnection(): boolean {
     const all = [...Object.values(this.sockets), ...Object.values(this.freeSockets)];
     return all.some((sockets) =>
       sockets?.some((socket) => !socket.connecting && !socket.destroyed),
@@ -89,22 +89,23 @@
   }
 
   /** Closes connections that have been idle for too long for the next request. */
-  closeStale(use: 'may-repeat' | 'at-most-once'): void {
+  closeStaleConnections(use: 'may-repeat' | 'at-most-once'): void {
     const now = this.now();
-    this.closeIdleOver(
-      use === 'at-most-once' ? this.idleLimit.atMostOnce(now) : this.idleLimit.now(now),
+    this.closeIdleLongerThan(
+      use === 'at-most-once' ? this.idleLimit.atMostOnce(now) : this.idleLimit.current(now),
     );
   }
 
   /** Takes it that a request's connection closed before any of its answer came. */
-  closedUnanswered(request: ClientRequest): void {
+  recordUnansweredClose(request: ClientRequest): void {
     const reuse = this.reuses.get(request);
     const now = this.now();
-    if (reuse && now - reuse.at <= FORGOTTEN_WITHIN_MS) this.idleLimit.takeReset(reuse.idleMs, now);
+    if (reuse && now - reuse.at <= REUSE_RESET_WINDOW_MS)
+      this.idleLimit.recordReset(reuse.idleMs, now);
   }
 
   /** Closes connections idle for longer than `ms`, so that the next request uses a fresher one. */
-  closeIdleOver(ms: number): void {
+  closeIdleLongerThan(ms: number): void {
     const limit = this.now() - ms;
     Object.values(this.freeSockets).forEach((sockets) =>
       sockets
--- a/packages/gateway/src/targets/crashWitness.ts
+++ b/packages/gateway/src/targets/crashWitness.ts
@@ -10,66 +10,68 @@
 import type { ReachableTarget } from './registry';
 
 /** How long to wait for a target's other connections to close too, ms: those of one process close together, but a busy instance reads their closes with pauses between. */
-const SETTLE_MS = [10, 40];
+const CLOSE_CHECK_DELAYS_MS = [10, 40];
 
 /** Whether an address refuses connections. */
 export type RefusalCheck = (host: string, port: number) => Promise<boolean>;
 
 /** A look at one target under way, or its finding that the target crashed. */
-interface Look {
+interface CrashCheck {
   requests: AskedRequest[];
   crashed: Promise<boolean>;
-  settled: boolean;
+  confirmed: boolean;
 }
 
 /** Waits, and then until what has arrived meanwhile is read: a timer that is late fires before that. */
-const settle = (ms: number): Promise<void> =>
+const waitForPendingReads = (ms: number): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(() => setImmediate(resolve), ms);
   });
 
 /** True once no connection to the target is left. */
-const allClosed = async (target: ReachableTarget): Promise<boolean> => {
-  for (const ms of SETTLE_MS) {
-    await settle(ms);
-    if (!target.connections().anyOpen) return true;
+const allConnectionsClosed = async (target: ReachableTarget): Promise<boolean> => {
+  for (const ms of CLOSE_CHECK_DELAYS_MS) {
+    await waitForPendingReads(ms);
+    if (!target.connections().hasOpenConnection) return true;
   }
   return false;
 };
 
 /** Looks into closed connections, once per target however many requests it closed under. */
 export class CrashWitness {
-  private readonly looks = new WeakMap<ReachableTarget, Look>();
+  private readonly checks = new WeakMap<ReachableTarget, CrashCheck>();
 
   constructor(
-    private readonly refuses: RefusalCheck,
+    private readonly refusesConnections: RefusalCheck,
     private readonly report: (crash: TargetCrash) => void,
   ) {}
 
   /** Takes a request whose connection closed before its answer; true when the target has crashed. */
-  closedUnder(target: ReachableTarget, request: AskedRequest): Promise<boolean> {
-    const known = this.looks.get(target);
-    if (known?.settled) this.reportCrash(target, [request]);
-    if (known) {
-      known.requests.push(request);
-      return known.crashed;
+  checkClosedConnection(target: ReachableTarget, request: AskedRequest): Promise<boolean> {
+    const existing = this.checks.get(target);
+    if (existing?.confirmed) this.reportCrash(target, [request]);
+    if (existing) {
+      existing.requests.push(request);
+      return existing.crashed;
     }
-    const look: Look = {
+    const check: CrashCheck = {
       requests: [request],
-      crashed: this.look(target),
-      settled: false,
+      crashed: this.runCheck(target),
+      confirmed: false,
     };
-    this.looks.set(target, look);
-    return look.crashed;
+    this.checks.set(target, check);
+    return check.crashed;
   }
 
-  private async look(target: ReachableTarget): Promise<boolean> {
-    const crashed = (await allClosed(target)) && (await this.refuses(target.host, target.port));
-    const look = this.looks.get(target);
-    if (!crashed) this.looks.delete(target);
-    if (crashed && look) {
-      look.settled = true;
-      this.reportCrash(target, [...look.requests]);
+  private async runCheck(target: ReachableTarget): Promise<boolean> {
+    const crashed =
+      (await allConnectionsClosed(target)) &&
+      (await this.refusesConnections(target.host, target.port));
+    const check = this.checks.get(target);
+    if (!crashed) this.checks.delete(target);
+    if (crashed && check) {
+      check.confirmed = true;
+      this.reportCrash(target, [...check.requests]);
     }
     return crashed;
   }
--- a/packages/gateway/src/targets/lapsedTargets.ts
+++ b/packages/gateway/src/targets/expiredTargets.ts
@@ -10,34 +10,34 @@
 import { compareRuns } from './runs';
 
 /** How long a target is remembered, ms: far longer than entries take to come back. */
-const REMEMBER_MS = 60_000;
+const RETENTION_MS = 60_000;
 
-interface Lapsed {
+interface ExpiredTarget {
   entry: TargetEntry;
   selfReport: SelfReport;
 }
 
 /** Remembers targets that have gone. */
-export class LapsedTargets {
-  private readonly lapsed: RecentMap<TargetId, Lapsed>;
+export class ExpiredTargets {
+  private readonly targets: RecentMap<TargetId, ExpiredTarget>;
 
   constructor(
     /** Steady clock, ms. */
     now: () => number,
   ) {
-    this.lapsed = new RecentMap(REMEMBER_MS, now);
+    this.targets = new RecentMap(RETENTION_MS, now);
   }
 
   /** Notes that the target's entry has gone. */
-  note(entry: TargetEntry, selfReport: SelfReport): void {
-    this.lapsed.set(entry.id, { entry, selfReport });
+  add(entry: TargetEntry, selfReport: SelfReport): void {
+    this.targets.set(entry.id, { entry, selfReport });
   }
 
   /** What the target of this entry has said, if its run is one that had gone. */
   take(entry: TargetEntry): SelfReport | undefined {
-    const before = this.lapsed.get(entry.id);
-    this.lapsed.delete(entry.id);
-    if (!before || compareRuns(before.entry, entry) === 'later') return undefined;
-    return before.selfReport;
+    const expired = this.targets.get(entry.id);
+    this.targets.delete(entry.id);
+    if (!expired || compareRuns(expired.entry, entry) === 'later') return undefined;
+    return expired.selfReport;
   }
 }
--- a/packages/gateway/src/targets/idleLimit.ts
+++ b/packages/gateway/src/targets/idleLimit.ts
@@ -8,37 +8,37 @@
  */
 
 /** Idle time up to which a connection is used while no reset was seen, ms: below the ten seconds after which targets usually close. New connections per request went from 0.24 to 0.18 against 4 s and 1 s, in ten played days. */
-export const IDLE_MOST_MS = 8500;
+export const MAX_IDLE_MS = 8500;
 /** Shortest limit, ms, and shortest idle time that teaches one: a reset sooner is a target that fails, not one that forgets. */
-const IDLE_LEAST_MS = 1000;
+const MIN_IDLE_MS = 1000;
 /** After a reset, the limit is this part of the idle time that led to it. */
-const AFTER_RESET = 0.5;
+const RESET_FACTOR = 0.5;
 /** The limit doubles after this time without a reset, ms: a target that forgot once tends to do so for some seconds. */
-const DOUBLES_EVERY_MS = 5000;
+const DOUBLING_PERIOD_MS = 5000;
 /** Requests that must not run twice use connections idle for at most this part of the limit: theirs must not be the request that finds a shorter one. */
-const AT_MOST_ONCE_PART = 0.45;
+const AT_MOST_ONCE_FACTOR = 0.45;
 
 /** The limit of one service's connections. Times in ms. */
 export class IdleLimit {
-  private learnedMs = IDLE_MOST_MS;
+  private learnedMs = MAX_IDLE_MS;
 
   private learnedAt = 0;
 
   /** Notes that a connection was reset on its reuse after `idleMs`. */
-  takeReset(idleMs: number, now: number): void {
-    if (idleMs < IDLE_LEAST_MS) return;
-    this.learnedMs = Math.max(IDLE_LEAST_MS, Math.min(this.now(now), idleMs * AFTER_RESET));
+  recordReset(idleMs: number, now: number): void {
+    if (idleMs < MIN_IDLE_MS) return;
+    this.learnedMs = Math.max(MIN_IDLE_MS, Math.min(this.current(now), idleMs * RESET_FACTOR));
     this.learnedAt = now;
   }
 
   /** Longest idle time at `now` for requests that may be repeated. */
-  now(now: number): number {
-    const grown = this.learnedMs * 2 ** ((now - this.learnedAt) / DOUBLES_EVERY_MS);
-    return Math.min(IDLE_MOST_MS, grown);
+  current(now: number): number {
+    const grown = this.learnedMs * 2 ** ((now - this.learnedAt) / DOUBLING_PERIOD_MS);
+    return Math.min(MAX_IDLE_MS, grown);
   }
 
   /** Longest idle time at `now` for requests that must not run twice. */
   atMostOnce(now: number): number {
-    return this.now(now) * AT_MOST_ONCE_PART;
+    return this.current(now) * AT_MOST_ONCE_FACTOR;
   }
 }
--- a/packages/gateway/src/targets/regionDemand.ts
+++ b/packages/gateway/src/targets/regionDemand.ts
@@ -3,17 +3,19 @@
 import { failureDomainName, regionName } from '@cardamomladder/types';
 
 /** Each region's part of all requests: callers stand in every failure domain alike. */
-export const demandOf = (domains: Readonly<Record<string, string>>): Map<RegionName, number> => {
-  const parts = new Map<RegionName, number>();
+export const demandByRegion = (
+  domains: Readonly<Record<string, string>>,
+): Map<RegionName, number> => {
+  const counts = new Map<RegionName, number>();
   Object.values(domains).forEach((name) => {
     const region = regionName(name);
-    parts.set(region, (parts.get(region) ?? 0) + 1);
+    counts.set(region, (counts.get(region) ?? 0) + 1);
   });
-  return parts;
+  return counts;
 };
 
 /** Each failure domain's part of its region's requests. */
-export const domainDemandOf = (
+export const demandByDomain = (
   domains: Readonly<Record<string, string>>,
   region: RegionName,
 ): Map<FailureDomainName, number> =>
--- a/packages/gateway/src/targets/registry.ts
+++ b/packages/gateway/src/targets/registry.ts
@@ -27,9 +27,9 @@
 import type { NamedInstances } from '../lifecycle/namedInstances';
 import { TargetConnections } from './connections';
 import { IdleLimit } from './idleLimit';
-import { KnownShares } from './knownShares';
-import { LapsedTargets } from './lapsedTargets';
-import { demandOf, domainDemandOf } from './regionDemand';
+import { ShareCache } from './shareCache';
+import { ExpiredTargets } from './expiredTargets';
+import { demandByRegion, demandByDomain } from './regionDemand';
 import { compareRuns } from './runs';
 
 /** A target with its connections and address. */
@@ -51,7 +51,7 @@
   reportFade: ReportFade;
   usualPriority: UsualPriority;
   /** The longest answer times of late, for objects that the target was sent before and for those new to it. */
-  longest: { remembered: LongestAnswer; first: LongestAnswer };
+  longest: { cached: LongestAnswer; uncached: LongestAnswer };
 }
 
 /** What the registry needs of the instance. */
@@ -71,25 +71,25 @@
 }
 
 /** Connections to one target that one instance may open when the configuration names no limit. */
-const DEFAULT_CONNECTIONS = 64;
+const DEFAULT_MAX_CONNECTIONS = 64;
 /** Smallest share of a target's connections one instance keeps for itself. */
-const LEAST_CONNECTIONS = 4;
+const MIN_CONNECTIONS = 4;
 
 /** All targets by service. */
 export class TargetRegistry {
   private readonly targets = new Map<TargetId, ReachableTarget>();
 
-  private readonly opened = new Map<TargetId, TargetConnections>();
+  private readonly connectionsById = new Map<TargetId, TargetConnections>();
 
   private readonly pools = new Map<ServiceName, ServiceTargets>();
 
   private readonly services = new Map<ServiceName, Service>();
 
-  private readonly coldShares: KnownShares<readonly InstanceId[], number>;
+  private readonly coldShares: ShareCache<readonly InstanceId[], number>;
 
-  private readonly limitShares: KnownShares<Sharers, LimitShare>;
+  private readonly limitShares: ShareCache<Sharers, LimitShare>;
 
-  private readonly lapsed: LapsedTargets;
+  private readonly expiredTargets: ExpiredTargets;
 
   private readonly demand: ReadonlyMap<RegionName, number>;
 
@@ -97,41 +97,41 @@
   private readonly evacuationEnded = new Map<FailureDomainName, number>();
 
   constructor(private readonly options: TargetRegistryOptions) {
-    this.demand = demandOf(options.domains);
-    this.lapsed = new LapsedTargets(options.now);
-    this.coldShares = new KnownShares(
+    this.demand = demandByRegion(options.domains);
+    this.expiredTargets = new ExpiredTargets(options.now);
+    this.coldShares = new ShareCache(
       () => options.fleet.list(),
-      (id, fleet, tolerated) => coldShare(id, options.self, fleet, tolerated),
+      (id, fleet, allowance) => coldShare(id, options.self, fleet, allowance),
     );
-    this.limitShares = new KnownShares(
+    this.limitShares = new ShareCache(
       () => options.named.holders(),
       (id, sharers, perSecond) => limitShare(id, options.self, sharers, perSecond),
     );
-    options.beliefs.changes.subscribe((change) => this.take(change));
+    options.beliefs.changes.subscribe((change) => this.applyChange(change));
   }
 
   /** The pool of a service; empty when no target is known. */
-  of(service: ServiceName): ServiceTargets {
-    const known = this.pools.get(service);
-    if (known) return known;
+  forService(service: ServiceName): ServiceTargets {
+    const existing = this.pools.get(service);
+    if (existing) return existing;
     const { beliefs, domains, ownDomain, ownRegion } = this.options;
     const created: ServiceTargets = {
       rankings: new Rankings(),
       idleLimit: new IdleLimit(),
       reportFade: new ReportFade(() => created.pool.targets.length),
       usualPriority: new UsualPriority(),
-      longest: { remembered: new LongestAnswer(), first: new LongestAnswer() },
+      longest: { cached: new LongestAnswer(), uncached: new LongestAnswer() },
       pool: {
         targets: [],
         generation: 0,
         ownRegion,
         ownDomain,
         demand: this.demand,
-        domainDemand: domainDemandOf(domains, ownRegion),
+        domainDemand: demandByDomain(domains, ownRegion),
         helpAbroad: new HelpAbroad(),
         evacuated: (failureDomain) => beliefs.evacuated.has(failureDomain),
         coldShare: (target) => this.coldShareOf(target),
-        limitShare: ({ id }, perSecond) => this.limitShares.of(id, perSecond),
+        limitShare: ({ id }, perSecond) => this.limitShares.get(id, perSecond),
       },
     };
     this.pools.set(service, created);
@@ -139,15 +139,15 @@
   }
 
   /** A target with its connections, if it is still known. */
-  reach(id: TargetId): ReachableTarget | undefined {
+  get(id: TargetId): ReachableTarget | undefined {
     return this.targets.get(id);
   }
 
   /** Takes it that a target says it leaves; true if it had not said so before. */
-  takeLeaving(target: PlacedTarget): boolean {
+  markLeaving(target: PlacedTarget): boolean {
     if (target.selfReport.leaving) return false;
     target.selfReport.leaving = true;
-    this.changePool(target.service, (targets) => [...targets]);
+    this.updatePool(target.service, (targets) => [...targets]);
     return true;
   }
 
@@ -166,21 +166,21 @@
   private coldShareOf(target: PlacedTarget): number {
     const { coldOverage, coldSlack } = this.options;
     const service = this.services.get(target.service);
-    const tolerated = (service?.coldRequestsPerSecond ?? 0) * coldOverage + coldSlack;
-    return this.coldShares.of(target.id, tolerated);
+    const allowance = (service?.coldRequestsPerSecond ?? 0) * coldOverage + coldSlack;
+    return this.coldShares.get(target.id, allowance);
   }
 
-  private take(change: BeliefChange): void {
-    if (change.kind === 'target') this.put(change.target);
-    if (change.kind === 'target-gone') this.lapse(change.id);
-    if (change.kind === 'configuration') this.takeServices(change.configuration);
+  private applyChange(change: BeliefChange): void {
+    if (change.kind === 'target') this.applyEntry(change.target);
+    if (change.kind === 'target-gone') this.expire(change.id);
+    if (change.kind === 'configuration') this.applyServices(change.configuration);
     if (change.kind === 'evacuation') {
       this.pools.forEach(({ pool }) => Object.assign(pool, { generation: pool.generation + 1 }));
       if (!change.active) this.endEvacuation(change.failureDomain);
     }
   }
 
-  private takeServices(configuration: Configuration): void {
+  private applyServices(configuration: Configuration): void {
     this.services.clear();
     configuration.services.forEach((service) => this.services.set(service.name, service));
   }
@@ -200,19 +200,19 @@
     });
   }
 
-  private put(entry: TargetEntry): void {
-    const known = this.targets.get(entry.id);
-    const run = compareRuns(known?.entry, entry);
+  private applyEntry(entry: TargetEntry): void {
+    const existing = this.targets.get(entry.id);
+    const run = compareRuns(existing?.entry, entry);
     if (run === 'earlier' || !this.options.domains[entry.failureDomain]) return;
     // A target that started again under its id remembers nothing, and what was
     // learned of its earlier run (full, failing, leaving, loaded) is void.
-    if (run === 'later') this.drop(entry.id);
+    if (run === 'later') this.remove(entry.id);
     const target = this.targets.get(entry.id) ?? this.add(entry);
     target.entry = entry;
     const { placed } = target;
     if (entry.leaving && !placed.leaving) {
       placed.leaving = true;
-      this.changePool(entry.service, (targets) => [...targets]);
+      this.updatePool(entry.service, (targets) => [...targets]);
     }
     if (entry.coldForMs > 0)
       placed.coldUntil = Math.max(placed.coldUntil, this.options.now() + entry.coldForMs);
@@ -231,10 +231,10 @@
         region: regionName(region),
         slots: entry.slots,
       },
-      this.of(entry.service).reportFade,
+      this.forService(entry.service).reportFade,
     );
-    const before = this.lapsed.take(entry);
-    if (before) placed.selfReport = before;
+    const expired = this.expiredTargets.take(entry);
+    if (expired) placed.selfReport = expired;
     const target: ReachableTarget = {
       placed,
       entry,
@@ -242,52 +242,52 @@
       connections: () => this.connectionsTo(entry),
     };
     this.targets.set(entry.id, target);
-    this.changePool(entry.service, (targets) => [...targets, placed]);
+    this.updatePool(entry.service, (targets) => [...targets, placed]);
     return target;
   }
 
-  private lapse(id: TargetId): void {
+  private expire(id: TargetId): void {
     const target = this.targets.get(id);
     if (target) {
       const { entry, placed } = target;
       // An older copy of the store may bring back an entry from before it left.
       if (entry.leaving) placed.selfReport.leaving = true;
-      this.lapsed.note(entry, placed.selfReport);
+      this.expiredTargets.add(entry, placed.selfReport);
     }
-    this.drop(id);
+    this.remove(id);
   }
 
-  private drop(id: TargetId): void {
+  private remove(id: TargetId): void {
     const target = this.targets.get(id);
     if (!target) return;
     target.placed.leaving = true;
     this.targets.delete(id);
-    this.changePool(target.placed.service, (targets) => targets.filter((t) => t.id !== id));
-    this.opened.get(id)?.closeIdleOver(0);
-    this.opened.delete(id);
-    this.coldShares.drop(id);
-    this.limitShares.drop(id);
+    this.updatePool(target.placed.service, (targets) => targets.filter((t) => t.id !== id));
+    this.connectionsById.get(id)?.closeIdleLongerThan(0);
+    this.connectionsById.delete(id);
+    this.coldShares.delete(id);
+    this.limitShares.delete(id);
   }
 
   private connectionsTo({ id, service }: TargetEntry): TargetConnections {
-    const known = this.opened.get(id);
-    if (known) return known;
-    const most = this.services.get(service)?.maxConnections ?? DEFAULT_CONNECTIONS;
+    const existing = this.connectionsById.get(id);
+    if (existing) return existing;
+    const configuredMax = this.services.get(service)?.maxConnections ?? DEFAULT_MAX_CONNECTIONS;
     const instances = Math.max(1, this.options.beliefs.instances.size);
     const created = new TargetConnections(
-      Math.max(LEAST_CONNECTIONS, Math.floor(most / instances)),
+      Math.max(MIN_CONNECTIONS, Math.floor(configuredMax / instances)),
       this.options.now,
-      this.of(service).idleLimit,
+      this.forService(service).idleLimit,
     );
-    this.opened.set(id, created);
+    this.connectionsById.set(id, created);
     return created;
   }
 
-  private changePool(
+  private updatePool(
     service: ServiceName,
     change: (targets: readonly PlacedTarget[]) => PlacedTarget[],
   ): void {
-    const { pool } = this.of(service);
+    const { pool } = this.forService(service);
     pool.targets = change(pool.targets);
     pool.generation += 1;
   }
--- a/packages/gateway/src/targets/runs.ts
+++ b/packages/gateway/src/targets/runs.ts
@@ -12,7 +12,7 @@
 export type RunOrder = 'same' | 'later' | 'earlier';
 
 /** Counts of writes up to which an entry may be the first of a run. */
-const FIRST_WRITES = 2;
+const MAX_WRITES_OF_NEW_RUN = 2;
 
 /**
  * Compares by start times. Where these are not told, the count of writes,
@@ -22,10 +22,10 @@
  */
 export const compareRuns = (known: TargetEntry | undefined, entry: TargetEntry): RunOrder => {
   if (!known) return 'same';
-  const isTold = known.startedAt !== undefined && entry.startedAt !== undefined;
+  const haveStartTimes = known.startedAt !== undefined && entry.startedAt !== undefined;
   if (isEarlierEntry(entry, known)) {
-    const mayBeFirst = !isTold && entry.writes <= FIRST_WRITES && !known.leaving;
+    const mayBeFirst = !haveStartTimes && entry.writes <= MAX_WRITES_OF_NEW_RUN && !known.leaving;
     return mayBeFirst ? 'later' : 'earlier';
   }
-  return isTold && entry.startedAt !== known.startedAt ? 'later' : 'same';
+  return haveStartTimes && entry.startedAt !== known.startedAt ? 'later' : 'same';
 };
--- a/packages/gateway/src/targets/knownShares.ts
+++ b/packages/gateway/src/targets/shareCache.ts
@@ -7,15 +7,15 @@
  */
 import type { TargetId } from '@cardamomladder/types';
 
-interface KnownShare<Fleet, Share> {
+interface CachedShare<Fleet, Share> {
   fleet: Fleet;
   amount: number;
   share: Share;
 }
 
 /** Remembers shares by target. */
-export class KnownShares<Fleet, Share> {
-  private readonly known = new Map<TargetId, KnownShare<Fleet, Share>>();
+export class ShareCache<Fleet, Share> {
+  private readonly shares = new Map<TargetId, CachedShare<Fleet, Share>>();
 
   constructor(
     /** Those who share; the same object until that changes. */
@@ -24,17 +24,17 @@
   ) {}
 
   /** The share of this instance in `amount` of a target. */
-  of(target: TargetId, amount: number): Share {
+  get(target: TargetId, amount: number): Share {
     const fleet = this.fleet();
-    const known = this.known.get(target);
-    if (known?.fleet === fleet && known.amount === amount) return known.share;
+    const cached = this.shares.get(target);
+    if (cached?.fleet === fleet && cached.amount === amount) return cached.share;
     const share = this.shareOf(target, fleet, amount);
-    this.known.set(target, { fleet, amount, share });
+    this.shares.set(target, { fleet, amount, share });
     return share;
   }
 
   /** Forgets a target. */
-  drop(target: TargetId): void {
-    this.known.delete(target);
+  delete(target: TargetId): void {
+    this.shares.delete(target);
   }
 }
