--- a/packages/gateway/src/targets/__fixtures__/send.ts
+++ b/packages/gateway/src/targets/__fixtures__/send.ts
@@ -1,4 +1,4 @@
-/** Plain sends to a server of the test's own, on kept connections. */
+/** Sends requests to a test server on keep-alive connections. */
 import type { Wire } from '../../wireNames';
 import type { Attempt, AttemptRequest } from '../attempt';
 import { sendAttempt } from '../attempt';
@@ -22,7 +22,7 @@
   directoryAnswer: () => '',
 };
 
-/** Sends a request to a port of this machine, on a kept connection if there is one. */
+/** Sends a request to a local port, on an idle connection if there is one. */
 export const beginSend = (
   port: number,
   connections: TargetConnections,
--- a/packages/gateway/src/targets/__tests__/attempt.test.ts
+++ b/packages/gateway/src/targets/__tests__/attempt.test.ts
@@ -1,4 +1,4 @@
-/** Which answers are taken for the target's own word on itself. */
+/** Which responses are accepted as statements of the target about itself. */
 import type { AddressInfo } from 'node:net';
 import { createServer } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
@@ -10,7 +10,7 @@
 const closing: (() => void)[] = [];
 const now = () => performance.now();
 
-/** A server that answers any request with these bytes and closes the connection. */
+/** Starts a server that responds to any request with these bytes and closes the connection. */
 const startServer = async (bytes: string): Promise<number> => {
   const server = createServer((socket) => {
     socket.on('error', () => {});
@@ -22,7 +22,7 @@
   });
   return (server.address() as AddressInfo).port;
 };
-/** What is heard of a target that answers so: kinds of answers. */
+/** Returns the sources of the statements taken from such a response. */
 const statementSources = async (
   status: string,
   headers: string[],
@@ -41,9 +41,9 @@
 
 afterEach(() => closing.splice(0).forEach((close) => close()));
 
-describe('what a target says of itself', () => {
-  it('is taken from every kind of answer of its own, and from no other', async () => {
-    // Guards against words that are read from whole successes only, or believed of another target.
+describe('the statement of a target', () => {
+  it('is taken from all of its own responses and from no others', async () => {
+    // Guards against statements that are read from complete successes only, or accepted from another target.
     const own = ['x-id: r', 'x-sig: s'];
     const sourcesByResponse = {
       success: await statementSources('200 OK', own),
--- a/packages/gateway/src/targets/__tests__/connections.test.ts
+++ b/packages/gateway/src/targets/__tests__/connections.test.ts
@@ -1,4 +1,4 @@
-/** Kept connections: how long idle ones are used, and what resets on reuse teach. */
+/** Keep-alive connections: the idle limit for reuse, and how resets change it. */
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createServer } from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -12,7 +12,7 @@
 let server: Server;
 let port: number;
 let accepted: number;
-/** Requests that one connection serves before it is reset at the next. */
+/** Number of requests per connection before the next one is reset. */
 let requestsPerConnection: number;
 let now: number;
 let idleLimit: IdleLimit;
@@ -28,7 +28,7 @@
     else socket.resetAndDestroy();
   });
 };
-/** Sends a request on a kept connection, if there is one. */
+/** Sends a request on an idle connection, if there is one. */
 const startSend = (): Attempt => beginSend(port, connections);
 const send = async (use: 'may-repeat' | 'at-most-once' = 'may-repeat'): Promise<string> => {
   connections.closeStaleConnections(use);
@@ -53,8 +53,8 @@
   server.close();
 });
 
-describe('kept connections', () => {
-  it('are used again after seconds, by requests that must not run twice after fewer', async () => {
+describe('keep-alive connections', () => {
+  it('are reused after some seconds idle, after fewer for non-idempotent requests', async () => {
     await send();
     now += 8000;
     expect([await send(), accepted]).toEqual(['200', 1]);
@@ -64,10 +64,10 @@
     expect([await send('at-most-once'), accepted]).toEqual(['200', 2]);
   });
 
-  it('are used for less long once one was reset on its reuse, and for longer again later', async () => {
-    // Symptom: one request in ten fails with a closed connection. Sequence: a
-    // target forgets idle connections after two seconds; each request after a
-    // pause is reset. Cause: the same idle time was taken to be safe for good.
+  it('have a lower idle limit after a reset on reuse, which rises again later', async () => {
+    // Failure: one request in ten failed with a closed connection. A target
+    // dropped idle connections after two seconds, so each request after a pause
+    // was reset, and the idle limit never changed.
     requestsPerConnection = 1;
     await send();
     now += 3000;
@@ -82,7 +82,7 @@
     expect(idleLimit.current(now)).toBe(8500);
   });
 
-  it('teach nothing when the caller left', async () => {
+  it('keep their idle limit if the caller disconnects', async () => {
     await send();
     now += 3000;
     const attempt = startSend();
--- a/packages/gateway/src/targets/__tests__/crashWitness.test.ts
+++ b/packages/gateway/src/targets/__tests__/crashWitness.test.ts
@@ -1,4 +1,4 @@
-/** Telling a crashed target from a broken connection, on real sockets. */
+/** Distinguishing a crashed target from a broken connection, on real sockets. */
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createServer } from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -68,8 +68,8 @@
   server.close();
 });
 
-describe('a connection that closes under a request', () => {
-  it('shows a crash when all of them close and new ones are refused', async () => {
+describe('a connection that closes during a request', () => {
+  it('indicates a crash if all connections close and new ones are refused', async () => {
     const target = createTarget();
     const sends = [startSend(), startSend()];
     await connected(2);
@@ -82,7 +82,7 @@
     ]);
     expect(results).toEqual([true, true]);
     expect(refusalChecks).toBe(1);
-    // One that is read later belongs to the same crash.
+    // A request whose close is detected later is attributed to the same crash.
     await detector.checkClosedConnection(target, asked('third'));
     expect(crashes).toEqual([
       { run: 't-1@7', requests: [FIRST, SECOND] },
@@ -90,11 +90,10 @@
     ]);
   });
 
-  it('shows a crash also when the others are read as closed a little later', async () => {
-    // Symptom: a crash is not reported, though each request there failed.
-    // Sequence: a busy instance reads the first close, then works on other
-    // things for some ms; the look finds the target's other connections open.
-    // Cause: one look, at a fixed time, decided.
+  it('indicates a crash even if the other closes are detected slightly later', async () => {
+    // Failure: a crash was not reported although all requests to the target
+    // failed. A busy instance processed the first close and then other events for
+    // some ms; the only check, at a fixed time, found the other connections open.
     const target = createTarget();
     const sends = [startSend(), startSend()];
     await connected(2);
@@ -106,26 +105,26 @@
     expect(crashes).toEqual([{ run: 't-1@7', requests: [FIRST] }]);
   });
 
-  it('shows none while another connection of the target is open, and costs no look', async () => {
-    // Symptom: requests are blamed for crashes that never were. Sequence: a
-    // target loses the answer to one request by a reset and goes on serving
-    // the others. Cause: a reset alone was taken for the target's end.
+  it('indicates no crash while another connection is open, without a refusal check', async () => {
+    // Failure: requests were blamed for crashes that never happened. A target
+    // lost the response to one request by a reset and continued with the others,
+    // but a reset alone was taken for a crash.
     const target = createTarget();
     const sends = [startSend(), startSend()];
     await connected(2);
     sockets[0].resetAndDestroy();
     await Promise.race(sends.map((send) => send.outcome));
     expect(await detector.checkClosedConnection(target, FIRST)).toBe(false);
-    expect({ crashes, looks: refusalChecks }).toEqual({ crashes: [], looks: 0 });
+    expect({ crashes, refusalChecks }).toEqual({ crashes: [], refusalChecks: 0 });
   });
 
-  it('shows none when the target takes a new connection', async () => {
+  it('indicates no crash if the target accepts a new connection', async () => {
     const target = createTarget();
     const send = startSend();
     await connected(1);
     sockets[0].resetAndDestroy();
     await send.outcome;
     expect(await detector.checkClosedConnection(target, FIRST)).toBe(false);
-    expect({ crashes, looks: refusalChecks }).toEqual({ crashes: [], looks: 1 });
+    expect({ crashes, refusalChecks }).toEqual({ crashes: [], refusalChecks: 1 });
   });
 });
--- a/packages/gateway/src/targets/__tests__/registry.test.ts
+++ b/packages/gateway/src/targets/__tests__/registry.test.ts
@@ -1,4 +1,4 @@
-/** What becomes of a target's record as its entry changes. */
+/** How a target's state follows changes of its registry entry. */
 import { describe, expect, it } from 'vitest';
 import type { TargetEntry } from '@cardamomladder/fleet';
 import { Beliefs } from '@cardamomladder/fleet';
@@ -59,12 +59,11 @@
   return { registry, put, spoil: invalidate, remove };
 };
 
-describe('a target that starts again under its id', () => {
-  it('is taken for a new one: nothing learned of its earlier run is held against it', () => {
-    // Symptom: a target gets nothing for the rest of the day. Sequence: it
-    // leaves or fails, crashes, and starts again under the id it had. Cause:
-    // its record was kept, with its state of leaving, its failures and what
-    // it was believed to remember.
+describe('a target that restarts with the same id', () => {
+  it('is treated as a new target, without the state of its earlier run', () => {
+    // Failure: a target got no requests for the rest of the day. It was leaving or
+    // failing, crashed, and restarted with the same id, but its state was kept:
+    // leaving, failures, and the objects assumed to be in its cache.
     const { registry, put } = setUp();
     put(entryOf({ startedAt: 100 }));
     const before = registry.get(ID)!;
@@ -79,7 +78,7 @@
     expect(registry.forService(serviceName('s')).pool.targets).toEqual([after.placed]);
   });
 
-  it('is told from late writes of its earlier run, and from its own', () => {
+  it('is distinguished from late writes of the earlier and of the same run', () => {
     const known = entryOf({ startedAt: 200, writes: 5 });
     const withoutStart = entryOf({ writes: 5 });
     const orders = [
@@ -104,7 +103,7 @@
     ]);
   });
 
-  it('does not come back from leaving by a late write of its own', () => {
+  it('remains leaving after a late write of the same run', () => {
     const { registry, put } = setUp();
     put(entryOf({ writes: 3 }));
     put(entryOf({ writes: 4, leaving: true }));
@@ -113,12 +112,12 @@
   });
 });
 
-describe('what a target said of itself', () => {
+describe('the self-report of a target', () => {
   const reportLimit = (registry: TargetRegistry) =>
     registry.get(ID)!.placed.selfReport.limit.hear({ perSecond: 4, ran: true, sentAt: 0 }, 1000);
 
-  it('holds on while its entry is away, for the same run', () => {
-    // Guards against a limit that is forgotten when an entry lapses and comes back.
+  it('is kept while its entry is missing, for the same run', () => {
+    // Guards against a limit that is lost when an entry expires and comes back.
     const { registry, put, remove } = setUp();
     put(entryOf({ startedAt: 100 }));
     reportLimit(registry);
@@ -135,8 +134,8 @@
     expect(registry.get(ID)!.placed.selfReport.limit.perSecond).toBeUndefined();
   });
 
-  it('of leaving holds whatever its entry says of the same run', () => {
-    // Guards against an entry that was written before the target said so, and puts it back.
+  it('remains leaving regardless of later entries of the same run', () => {
+    // Guards against an entry, written before the target reported leaving, that would reset this.
     const { registry, put, remove } = setUp();
     put(entryOf({ startedAt: 100 }));
     const { pool } = registry.forService(serviceName('s'));
@@ -153,8 +152,8 @@
     expect(registry.get(ID)!.placed.selfReport.leaving).toBe(false);
   });
 
-  // Guards against an older copy of the store that puts a target back which had left.
-  it('of leaving in its entry holds when an earlier entry comes back', () => {
+  // Guards against an older copy of the store that brings back a target that was leaving.
+  it('remains leaving, as its entry said, when an earlier entry comes back', () => {
     const { registry, put, remove } = setUp();
     put(entryOf({ writes: 3 }));
     put(entryOf({ writes: 4, leaving: true }));
@@ -163,7 +162,7 @@
     expect(registry.get(ID)!.placed.selfReport.leaving).toBe(true);
   });
 
-  it('does not hold for a later run under its id', () => {
+  it('does not apply to a later run with the same id', () => {
     const { registry, put } = setUp();
     put(entryOf({ startedAt: 100 }));
     reportLimit(registry);
@@ -172,8 +171,8 @@
   });
 });
 
-describe('an entry of another writer', () => {
-  it('names no target, and takes away the one that stood under its key', () => {
+describe('an invalid entry', () => {
+  it('removes the target that was stored under its key', () => {
     const { registry, put, spoil } = setUp();
     put(entryOf());
     expect(registry.size).toBe(1);
@@ -183,7 +182,7 @@
     expect(registry.size).toBe(1);
   });
 
-  it('in a failure domain that does not exist names no target', () => {
+  it('with an unknown failure domain adds no target', () => {
     const { registry, put } = setUp();
     put(entryOf({ failureDomain: failureDomainName('nowhere') }));
     expect(registry.size).toBe(0);
--- a/packages/gateway/src/targets/__tests__/shareCache.test.ts
+++ b/packages/gateway/src/targets/__tests__/shareCache.test.ts
@@ -1,4 +1,4 @@
-/** Shares of cold targets, kept while the fleet stays the same. */
+/** Shares of cold targets, cached while the fleet is unchanged. */
 import { describe, expect, it } from 'vitest';
 import { Beliefs } from '@cardamomladder/fleet';
 import { coldShare } from '@cardamomladder/steering';
@@ -50,10 +50,10 @@
 };
 
 describe('the share of a cold target', () => {
-  it('follows the fleet as instances join, leave, and are forgotten', () => {
-    // Symptom: a cold target crashes though each instance kept to its share.
-    // Sequence: a share is kept, the fleet grows, and the kept share is used.
-    // Cause: what is kept has to go with any change of the fleet.
+  it('is updated when instances join, leave, and are no longer counted', () => {
+    // Failure: a cold target crashed although each instance stayed within its
+    // share. The fleet had grown, but the share cached before was still used; any
+    // change of the fleet must invalidate it.
     const { shares, expected, join, leave, pass, members } = setUp(2);
     const expectCurrentShare = () => expect(shares.get(TARGET, ALLOWANCE)).toBe(expected());
     expectCurrentShare();
--- a/packages/gateway/src/targets/connections.ts
+++ b/packages/gateway/src/targets/connections.ts
@@ -1,12 +1,13 @@
 /**
- * Kept connections to one target. Beyond what Node's agent does:
+ * Keep-alive connections to one target. Extends Node's agent as follows:
  *
- * - A target may send bytes after a complete answer, or a second answer late.
- *   On an idle connection they belong to no request; the connection is closed
- *   at the first such byte, so that they can't be read as the next answer.
- * - A connection that was idle for long may be closed or forgotten at the far
- *   end while a request is being written, and nobody can tell whether it ran.
- *   Connections are used up to a limit of idle time that resets on reuse teach.
+ * - A target may send bytes after a complete response, or a late second
+ *   response. On an idle connection they belong to no request; the connection is
+ *   closed at the first such byte, so that they can't be taken for the response
+ *   to the next request.
+ * - The target may close or drop a connection that has been idle for long while
+ *   a request is being written; whether the request ran is then unknown.
+ *   Connections are reused up to an idle limit that adapts to resets on reuse.
  */
 import type { ClientRequest } from 'node:http';
 import { Agent } from 'node:http';
@@ -14,26 +15,26 @@
 import type { IdleLimit } from './idleLimit';
 import { MAX_IDLE_MS } from './idleLimit';
 
-/** A reset this soon after a connection's reuse, ms, shows that the far end had forgotten it: the way there and back between any two regions. */
+/** A reset within this time after reuse, ms, shows that the target had dropped the connection: the round trip between any two regions. */
 const REUSE_RESET_WINDOW_MS = 150;
-/** Part of the idle time that a target announces for which a connection is kept. */
+/** Fraction of the keep-alive timeout announced by a target after which an idle connection is closed. */
 const ANNOUNCED_TIMEOUT_FACTOR = 0.8;
-/** Most idle connections kept per target: about one per slot. */
+/** Maximum number of idle connections per target: about one per slot. */
 const MAX_IDLE_CONNECTIONS = 8;
 
-/** What is kept of an idle connection. */
+/** State of an idle connection. */
 interface IdleState {
   since: number;
   closeOnData: () => void;
 }
 
-/** A request on a connection that was idle before it. */
+/** The reuse of an idle connection by a request. */
 interface Reuse {
   idleMs: number;
   at: number;
 }
 
-/** The agent of one target. */
+/** HTTP agent for one target. */
 export class TargetConnections extends Agent {
   private readonly idle = new WeakMap<Socket, IdleState>();
 
@@ -42,7 +43,7 @@
   constructor(
     maxConnections: number,
     private readonly now: () => number,
-    /** Shared by the connections to all targets of a service. */
+    /** Shared by the connections to all targets of the service. */
     private readonly idleLimit: IdleLimit,
   ) {
     super({
@@ -55,12 +56,12 @@
     });
   }
 
-  /** Node calls this when an answer is complete; true keeps the connection. */
+  /** Called by Node when a response is complete; returns true to keep the connection open. */
   override keepSocketAlive(socket: Socket): boolean {
     const keep = super.keepSocketAlive(socket) as unknown as boolean;
     if (!keep) return false;
-    // Node closes at the very moment that the target announced, too late for a
-    // request that is then on its way.
+    // Node closes the connection exactly at the announced timeout, which is too
+    // late for a request in transit at that moment.
     if (socket.timeout && socket.timeout < MAX_IDLE_MS)
       socket.setTimeout(socket.timeout * ANNOUNCED_TIMEOUT_FACTOR);
     const closeOnData = () => socket.destroy();
@@ -69,7 +70,7 @@
     return true;
   }
 
-  /** Node calls this when a kept connection takes the next request. */
+  /** Called by Node when an idle connection is reused for a request. */
   override reuseSocket(socket: Socket, request: ClientRequest): void {
     const idle = this.idle.get(socket);
     if (idle) {
@@ -80,7 +81,7 @@
     super.reuseSocket(socket, request);
   }
 
-  /** True while at least one connection to the target is open. */
+  /** True if at least one connection to the target is open. */
   get hasOpenConnection(): boolean {
     const all = [...Object.values(this.sockets), ...Object.values(this.freeSockets)];
     return all.some((sockets) =>
@@ -88,7 +89,7 @@
     );
   }
 
-  /** Closes connections that have been idle for too long for the next request. */
+  /** Closes connections whose idle time exceeds the limit for the next request. */
   closeStaleConnections(use: 'may-repeat' | 'at-most-once'): void {
     const now = this.now();
     this.closeIdleLongerThan(
@@ -96,7 +97,7 @@
     );
   }
 
-  /** Takes it that a request's connection closed before any of its answer came. */
+  /** Records that a request's connection closed before any part of a response arrived. */
   recordUnansweredClose(request: ClientRequest): void {
     const reuse = this.reuses.get(request);
     const now = this.now();
@@ -104,7 +105,7 @@
       this.idleLimit.recordReset(reuse.idleMs, now);
   }
 
-  /** Closes connections idle for longer than `ms`, so that the next request uses a fresher one. */
+  /** Closes connections idle for longer than `ms`. */
   closeIdleLongerThan(ms: number): void {
     const limit = this.now() - ms;
     Object.values(this.freeSockets).forEach((sockets) =>
--- a/packages/gateway/src/targets/crashWitness.ts
+++ b/packages/gateway/src/targets/crashWitness.ts
@@ -1,34 +1,34 @@
 /**
- * Tells a target that crashed from a connection that broke. Both look alike to
- * the request that was under way; but after a crash no connection to the
- * target is left, and its address refuses new ones. A broken link, a lost
- * answer or a full target leave other connections open or accept a new one,
- * and a machine without power does not answer at all.
+ * Distinguishes a crashed target from a broken connection. The affected request
+ * sees the same error in both cases, but after a crash all connections to the
+ * target are closed and its address refuses new ones. With a network failure, a
+ * lost response or an overloaded target, other connections stay open or new
+ * ones are accepted; a machine without power does not respond at all.
  */
 import type { AskedRequest, TargetCrash } from '@cardamomladder/types';
 import { targetRun } from '@cardamomladder/types';
 import type { ReachableTarget } from './registry';
 
-/** How long to wait for a target's other connections to close too, ms: those of one process close together, but a busy instance reads their closes with pauses between. */
+/** Delays before each check whether a target's other connections are closed too, ms: the connections of a process close together, but a busy instance processes the events with gaps between them. */
 const CLOSE_CHECK_DELAYS_MS = [10, 40];
 
 /** Whether an address refuses connections. */
 export type RefusalCheck = (host: string, port: number) => Promise<boolean>;
 
-/** A look at one target under way, or its finding that the target crashed. */
+/** A crash check in progress, or one that has confirmed a crash. */
 interface CrashCheck {
   requests: AskedRequest[];
   crashed: Promise<boolean>;
   confirmed: boolean;
 }
 
-/** Waits, and then until what has arrived meanwhile is read: a timer that is late fires before that. */
+/** Waits for a delay and then for pending I/O: a late timer fires before the events that arrived meanwhile are processed. */
 const waitForPendingReads = (ms: number): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(() => setImmediate(resolve), ms);
   });
 
-/** True once no connection to the target is left. */
+/** True if no connection to the target is open at one of the checks. */
 const allConnectionsClosed = async (target: ReachableTarget): Promise<boolean> => {
   for (const ms of CLOSE_CHECK_DELAYS_MS) {
     await waitForPendingReads(ms);
@@ -37,7 +37,7 @@
   return false;
 };
 
-/** Looks into closed connections, once per target however many requests it closed under. */
+/** Investigates closed connections, with one check per target for all affected requests. */
 export class CrashWitness {
   private readonly checks = new WeakMap<ReachableTarget, CrashCheck>();
 
@@ -46,7 +46,7 @@
     private readonly report: (crash: TargetCrash) => void,
   ) {}
 
-  /** Takes a request whose connection closed before its answer; true when the target has crashed. */
+  /** Handles a connection that closed before the request's response; true if the target has crashed. */
   checkClosedConnection(target: ReachableTarget, request: AskedRequest): Promise<boolean> {
     const existing = this.checks.get(target);
     if (existing?.confirmed) this.reportCrash(target, [request]);
--- a/packages/gateway/src/targets/expiredTargets.ts
+++ b/packages/gateway/src/targets/expiredTargets.ts
@@ -1,7 +1,8 @@
 /**
- * Targets whose entries have gone lately. Entries lapse while the store is
- * away, or are read without, and come back; what a target said of itself in
- * its answers holds on for the same run.
+ * Keeps the self-reports of targets whose entries were removed recently.
+ * Entries may disappear while the store is unavailable, or be missing from what
+ * is read, and come back later; what a target reported in its responses remains
+ * valid as long as its run lasts.
  */
 import type { TargetEntry } from '@cardamomladder/fleet';
 import type { SelfReport } from '@cardamomladder/steering';
@@ -9,7 +10,7 @@
 import { RecentMap } from '@cardamomladder/types';
 import { compareRuns } from './runs';
 
-/** How long a target is remembered, ms: far longer than entries take to come back. */
+/** How long a target is kept, ms: far longer than entries take to come back. */
 const RETENTION_MS = 60_000;
 
 interface ExpiredTarget {
@@ -17,23 +18,22 @@
   selfReport: SelfReport;
 }
 
-/** Remembers targets that have gone. */
+/** Recently removed targets by id. */
 export class ExpiredTargets {
   private readonly targets: RecentMap<TargetId, ExpiredTarget>;
 
   constructor(
-    /** Steady clock, ms. */
+    /** Monotonic clock, ms. */
     now: () => number,
   ) {
     this.targets = new RecentMap(RETENTION_MS, now);
   }
 
-  /** Notes that the target's entry has gone. */
   add(entry: TargetEntry, selfReport: SelfReport): void {
     this.targets.set(entry.id, { entry, selfReport });
   }
 
-  /** What the target of this entry has said, if its run is one that had gone. */
+  /** Removes and returns the target's self-report, unless the entry belongs to a later run. */
   take(entry: TargetEntry): SelfReport | undefined {
     const expired = this.targets.get(entry.id);
     this.targets.delete(entry.id);
--- a/packages/gateway/src/targets/refusal.ts
+++ b/packages/gateway/src/targets/refusal.ts
@@ -1,8 +1,8 @@
-/** Whether an address refuses connections, which shows that no process listens there. */
+/** Checks whether an address refuses connections, which shows that no process listens there. */
 import { connect } from 'node:net';
 import { CONNECT_TIMEOUT_MS } from './attempt';
 
-/** Opens a connection and drops it; true when the far end refuses it at once. */
+/** Tries to connect and closes the connection; true if it is refused. */
 export const refusesConnections = (host: string, port: number): Promise<boolean> =>
   new Promise((resolve) => {
     const socket = connect({ host, port, timeout: CONNECT_TIMEOUT_MS });
--- a/packages/gateway/src/targets/regionDemand.ts
+++ b/packages/gateway/src/targets/regionDemand.ts
@@ -1,8 +1,8 @@
-/** Where requests come from: the parts of regions and of failure domains. */
+/** Relative demand of regions and failure domains, that is, where requests come from. */
 import type { FailureDomainName, RegionName } from '@cardamomladder/types';
 import { failureDomainName, regionName } from '@cardamomladder/types';
 
-/** Each region's part of all requests: callers stand in every failure domain alike. */
+/** Relative demand by region, assuming the same demand in each failure domain. */
 export const demandByRegion = (
   domains: Readonly<Record<string, string>>,
 ): Map<RegionName, number> => {
@@ -14,7 +14,7 @@
   return counts;
 };
 
-/** Each failure domain's part of its region's requests. */
+/** Relative demand by failure domain within a region. */
 export const demandByDomain = (
   domains: Readonly<Record<string, string>>,
   region: RegionName,
--- a/packages/gateway/src/targets/registry.ts
+++ b/packages/gateway/src/targets/registry.ts
@@ -1,6 +1,7 @@
 /**
- * The targets this instance may send to: what the registry says of them, what
- * their answers taught, and their connections. Follows beliefs.
+ * The targets that this instance may send to: their registry entries, the state
+ * derived from their responses, and their connections. Follows the changes of
+ * the known facts.
  */
 import type { Beliefs, BeliefChange, TargetEntry } from '@cardamomladder/fleet';
 import type { Configuration, Service } from '@cardamomladder/routing';
@@ -26,35 +27,35 @@
 import type { FleetMembers } from '../lifecycle/fleetMembers';
 import type { NamedInstances } from '../lifecycle/namedInstances';
 import { TargetConnections } from './connections';
-import { IdleLimit } from './idleLimit';
-import { ShareCache } from './shareCache';
 import { ExpiredTargets } from './expiredTargets';
-import { demandByRegion, demandByDomain } from './regionDemand';
+import { IdleLimit } from './idleLimit';
+import { demandByDomain, demandByRegion } from './regionDemand';
 import { compareRuns } from './runs';
+import { ShareCache } from './shareCache';
 
-/** A target with its connections and address. */
+/** A target with its address and connections. */
 export interface ReachableTarget {
   placed: PlacedTarget;
   host: string;
   port: number;
-  /** Its connections, made at the first use: most instances send to few of the targets that they know. */
+  /** Its connections, created on first use, as most instances send to few of the known targets. */
   connections: () => TargetConnections;
-  /** What it last said of itself. */
+  /** Its latest registry entry. */
   entry: TargetEntry;
 }
 
-/** A service's pool, its remembered rankings, and what its targets taught together. */
+/** A service's pool, its cached rankings, and the state derived from all its targets. */
 export interface ServiceTargets {
   pool: ServicePool;
   rankings: Rankings;
   idleLimit: IdleLimit;
   reportFade: ReportFade;
   usualPriority: UsualPriority;
-  /** The longest answer times of late, for objects that the target was sent before and for those new to it. */
+  /** The longest recent response times, for objects that the target was sent before and for new ones. */
   longest: { cached: LongestAnswer; uncached: LongestAnswer };
 }
 
-/** What the registry needs of the instance. */
+/** Dependencies and settings of the registry. */
 export interface TargetRegistryOptions {
   beliefs: Beliefs;
   ownRegion: RegionName;
@@ -63,16 +64,16 @@
   /** Region of each failure domain. */
   domains: Readonly<Record<string, string>>;
   fleet: FleetMembers;
-  /** The instances that callers are sent to, which share the targets' limits. */
+  /** The instances to which callers are directed, which share the targets' limits. */
   named: Pick<NamedInstances, 'holders'>;
   coldOverage: number;
   coldSlack: number;
   now: () => number;
 }
 
-/** Connections to one target that one instance may open when the configuration names no limit. */
+/** Maximum connections to a target from all instances together, if the configuration sets no limit. */
 const DEFAULT_MAX_CONNECTIONS = 64;
-/** Smallest share of a target's connections one instance keeps for itself. */
+/** Minimum number of connections to a target that each instance may open. */
 const MIN_CONNECTIONS = 4;
 
 /** All targets by service. */
@@ -110,7 +111,7 @@
     options.beliefs.changes.subscribe((change) => this.applyChange(change));
   }
 
-  /** The pool of a service; empty when no target is known. */
+  /** A service's pool and shared state; the pool is empty if no target is known. */
   forService(service: ServiceName): ServiceTargets {
     const existing = this.pools.get(service);
     if (existing) return existing;
@@ -138,12 +139,12 @@
     return created;
   }
 
-  /** A target with its connections, if it is still known. */
+  /** A target by id, if it is still known. */
   get(id: TargetId): ReachableTarget | undefined {
     return this.targets.get(id);
   }
 
-  /** Takes it that a target says it leaves; true if it had not said so before. */
+  /** Records a target's report that it is leaving; true if it is the first one. */
   markLeaving(target: PlacedTarget): boolean {
     if (target.selfReport.leaving) return false;
     target.selfReport.leaving = true;
@@ -151,12 +152,12 @@
     return true;
   }
 
-  /** How many targets are known. */
+  /** Number of known targets. */
   get size(): number {
     return this.targets.size;
   }
 
-  /** How many targets name a limit. */
+  /** Number of targets that currently report a rate limit. */
   get limited(): number {
     return [...this.targets.values()].filter(
       ({ placed }) => placed.selfReport.limit.perSecond !== undefined,
@@ -186,9 +187,9 @@
   }
 
   /**
-   * Targets that got nothing for a while have lost their warm memory, and
-   * their own report of it can come a heartbeat later than the end of the
-   * evacuation; sending at full rate meanwhile would crash them.
+   * Treats the domain's targets as cold: without requests they have lost their
+   * caches, and their own report of it may arrive one heartbeat after the end of
+   * the evacuation. Sending at the full rate until then would crash them.
    */
   private endEvacuation(failureDomain: FailureDomainName): void {
     const at = this.options.now();
@@ -204,8 +205,8 @@
     const existing = this.targets.get(entry.id);
     const run = compareRuns(existing?.entry, entry);
     if (run === 'earlier' || !this.options.domains[entry.failureDomain]) return;
-    // A target that started again under its id remembers nothing, and what was
-    // learned of its earlier run (full, failing, leaving, loaded) is void.
+    // A target that restarted with the same id has an empty cache, and the state
+    // of its earlier run (full, failing, leaving, load) is obsolete.
     if (run === 'later') this.remove(entry.id);
     const target = this.targets.get(entry.id) ?? this.add(entry);
     target.entry = entry;
@@ -250,7 +251,7 @@
     const target = this.targets.get(id);
     if (target) {
       const { entry, placed } = target;
-      // An older copy of the store may bring back an entry from before it left.
+      // A store restored from an older copy may bring back an entry from before the target was leaving.
       if (entry.leaving) placed.selfReport.leaving = true;
       this.expiredTargets.add(entry, placed.selfReport);
     }
--- a/packages/gateway/src/targets/runs.ts
+++ b/packages/gateway/src/targets/runs.ts
@@ -1,24 +1,24 @@
 /**
- * Tells whether an entry comes from the run of a target that is known, from a
- * later run, or is an earlier state that was written late. A target that
- * crashes may start again under the id it had; taken for the run before, it
- * would keep its failures, its load and its state of leaving, and be sent
- * objects as if it remembered them.
+ * Determines whether a target's entry belongs to its known run, to a later run,
+ * or is an outdated state that was written late. A target may restart with the
+ * same id after a crash; if it were taken for the previous run, it would keep
+ * that run's failures, load and leaving state, and be sent objects as if they
+ * were still in its cache.
  */
 import type { TargetEntry } from '@cardamomladder/fleet';
 import { isEarlierEntry } from '@cardamomladder/fleet';
 
-/** How an entry's run or state stands to the one that is known. */
+/** Order of an entry's run or state relative to the known one. */
 export type RunOrder = 'same' | 'later' | 'earlier';
 
-/** Counts of writes up to which an entry may be the first of a run. */
+/** Highest count of writes at which an entry may be from the start of a run. */
 const MAX_WRITES_OF_NEW_RUN = 2;
 
 /**
- * Compares by start times. Where these are not told, the count of writes,
- * which starts anew with each run, has to do; as a late write of the same run
- * has a lower count too, only one that is among the first counts as a new
- * run's, and none brings a leaving target back.
+ * Compares start times, or if one is missing the count of writes, which restarts
+ * with each run. A late write of the same run has a lower count too, so only
+ * the first few writes are taken for a new run, and none of them resets the
+ * state of a leaving target.
  */
 export const compareRuns = (known: TargetEntry | undefined, entry: TargetEntry): RunOrder => {
   if (!known) return 'same';
--- a/packages/gateway/src/targets/shareCache.ts
+++ b/packages/gateway/src/targets/shareCache.ts
@@ -1,9 +1,9 @@
 /**
- * This instance's shares of what targets take from the whole fleet. A share is
- * a hash per instance of the fleet, and is asked for with each request that
- * could go to the target: 0.4 ms at 195 instances, 0.7 ms while the code is new
- * to the engine, which a starting fleet has no time for. So shares are kept
- * until the fleet or what is shared changes.
+ * Caches this instance's shares of the load that targets accept from the whole
+ * fleet. A share takes one hash per instance and is needed for each request
+ * that could go to the target: 0.4 ms with 195 instances, 0.7 ms before the code
+ * is optimized by the engine, which is too slow while a fleet starts. Shares are
+ * cached until the fleet or the shared amount changes.
  */
 import type { TargetId } from '@cardamomladder/types';
 
@@ -13,17 +13,17 @@
   share: Share;
 }
 
-/** Remembers shares by target. */
+/** Cached shares by target. */
 export class ShareCache<Fleet, Share> {
   private readonly shares = new Map<TargetId, CachedShare<Fleet, Share>>();
 
   constructor(
-    /** Those who share; the same object until that changes. */
+    /** The instances that share; returns the same object until they change. */
     private readonly fleet: () => Fleet,
     private readonly shareOf: (target: TargetId, fleet: Fleet, amount: number) => Share,
   ) {}
 
-  /** The share of this instance in `amount` of a target. */
+  /** This instance's share of a target's `amount`. */
   get(target: TargetId, amount: number): Share {
     const fleet = this.fleet();
     const cached = this.shares.get(target);
@@ -33,7 +33,6 @@
     return share;
   }
 
-  /** Forgets a target. */
   delete(target: TargetId): void {
     this.shares.delete(target);
   }
