--- a/packages/gateway/src/requests/__tests__/crashEvidence.test.ts
+++ b/packages/gateway/src/requests/__tests__/crashEvidence.test.ts
@@ -1,4 +1,4 @@
-/** What the outcome of a send says of its request. */
+/** Crash evidence recorded from the outcomes of sends. */
 import { describe, expect, it } from 'vitest';
 import { AnsweredLately, Quarantine } from '@cardamomladder/steering';
 import type { AskedRequest } from '@cardamomladder/types';
@@ -17,7 +17,7 @@
 const asked: AskedRequest = { request: requestDigest('r'), caller: callerDigest('c') };
 const answer = (status: number) => ({ kind: 'answer', status }) as AttemptOutcome;
 
-/** Takes an outcome of a request that was under way at two crashes; what is told of it. */
+/** Records an outcome of a request that was in progress during two crashes; returns what was reported. */
 const record = async (outcome: AttemptOutcome) => {
   const quarantine = new Quarantine(() => 0);
   const answeredLately = new AnsweredLately(() => 0);
@@ -41,17 +41,16 @@
   return { reported, answeredRecently: answeredLately.has(asked.request) };
 };
 
-describe('a request that was under way at crashes', () => {
-  it('is cleared by an answer', async () => {
+describe('a request that was in progress during crashes', () => {
+  it('is cleared by a response', async () => {
     expect(await record(answer(200))).toEqual({ reported: [asked], answeredRecently: true });
     expect(await record(answer(404))).toEqual({ reported: [asked], answeredRecently: true });
   });
 
-  it('is not cleared by a failure or a refusal', async () => {
-    // Symptom: a request goes on crashing targets after three of them.
-    // Sequence: among the targets is one that fails part of its requests before
-    // it works on them; it answers 500 to this one. Cause: any answer was taken
-    // as proof that the request crashes nothing.
+  it('is not cleared by an error response or a refusal', async () => {
+    // Failure: a request kept crashing targets after the first three. One target
+    // failed some requests with 500 before processing them, and any response was
+    // taken as proof that the request crashes nothing.
     const nothing = { reported: [], answeredRecently: false };
     expect(await record(answer(500))).toEqual(nothing);
     expect(await record({ kind: 'not-run', reason: 'rejected' })).toEqual(nothing);
--- a/packages/gateway/src/requests/__tests__/digest.test.ts
+++ b/packages/gateway/src/requests/__tests__/digest.test.ts
@@ -1,4 +1,4 @@
-/** Which requests are known again as the same one. */
+/** Which requests have the same digest. */
 import { describe, expect, it } from 'vitest';
 import type { DigestedRequest } from '../digest';
 import { callerDigestOf, requestDigestOf } from '../digest';
@@ -18,7 +18,7 @@
 });
 
 describe('the digest of a request', () => {
-  it('is the same at each instance and for each attempt', () => {
+  it('is the same on each instance and for each attempt', () => {
     expect(digestOf({ ...request, body: Buffer.from('{"visit":1}') })).toEqual(digestOf(request));
     expect(digestOf(request)).toMatchInlineSnapshot(`
       {
@@ -28,7 +28,7 @@
     `);
   });
 
-  it('differs with each thing that makes it another request', () => {
+  it('differs if any identifying field differs', () => {
     const others = [
       { ...request, method: 'GET' },
       { ...request, host: 'b.example' },
@@ -40,7 +40,7 @@
     expect(new Set(digests).size).toBe(others.length + 1);
   });
 
-  it('tells callers apart by address and by credentials, and the request by neither', () => {
+  it('depends on address and credentials for callers, but not for requests', () => {
     const others = [
       { ...request, caller: '10.0.0.8' },
       { ...request, credentials: 'Bearer one' },
--- a/packages/gateway/src/requests/__tests__/retryPolicy.test.ts
+++ b/packages/gateway/src/requests/__tests__/retryPolicy.test.ts
@@ -1,4 +1,4 @@
-/** At most once, decided in one place: which outcomes allow another send. */
+/** At-most-once execution: which outcomes allow a retry, and after what time. */
 import type { IncomingMessage } from 'node:http';
 import { describe, expect, it } from 'vitest';
 import { seeded } from '@cardamomladder/load';
@@ -22,8 +22,8 @@
   'no length': { kind: 'answer', status: 200, head: head({}), chunks: [] },
 };
 
-describe('repeats', () => {
-  it('are made only of what may run twice, or surely did not run', () => {
+describe('retries', () => {
+  it('are limited to idempotent requests and those that did not run', () => {
     const kinds: RequestKind[] = ['idempotent', 'download', 'non-idempotent'];
     const table = Object.entries(outcomes).map(
       ([name, outcome]) =>
@@ -32,11 +32,11 @@
     expect(table).toMatchSnapshot();
   });
 
-  it('wait out the longest answers of late, so that work on a new object is not given up', () => {
-    // Symptom: lookups of new objects take over a second on a calm day.
-    // Sequence: the object is new to its target, which takes 480 ms; at 350 ms
-    // the send is given up and the next target starts on it, new as well.
-    // Cause: the wait followed the mean of answers from memory.
+  it('wait for the longest recent response time, so that loading an object is not abandoned', () => {
+    // Failure: lookups of uncached objects took over a second under low load. The
+    // target needed 480 ms to load the object, but the send was abandoned after
+    // 350 ms for another target without it: the timeout was derived from the mean
+    // response time for cached objects.
     const timeouts = [0, 150, 480, 2000].map((ms) => {
       const longest = { ms, answers: 10_000 };
       return retryTimeoutMs(1200, { send: longest, retry: longest });
@@ -46,12 +46,12 @@
     expect(retryTimeoutMs(1200, { send: unknown, retry: unknown })).toBeUndefined();
   });
 
-  it('do not take away an answer that no repeat could bring in time', () => {
-    // Symptom: on a calm day one recipe in fifteen gets no answer, each the
-    // first one for its object. Sequence: the target works 2.2 s on the new
-    // object; after 2.25 of 3 s the send is given up, and the next target, to
-    // which the object is new as well, has 0.75 s left. Cause: a repeat was
-    // made whether or not it could be answered.
+  it('are not made if they could not finish before the deadline', () => {
+    // Failure: under low load one recipe request in fifteen got no response, each
+    // the first for its object. The target needed 2.2 s for an uncached object;
+    // after 2.25 of 3 s the send was abandoned, which left 0.75 s to the next
+    // target, where the object was uncached too. Retries were made even if they
+    // could not finish in time.
     const uncached = { ms: 2400, answers: 50 };
     const cached = { ms: 900, answers: 50 };
     expect(retryTimeoutMs(3000, { send: uncached, retry: uncached })).toBeUndefined();
@@ -59,11 +59,11 @@
     expect(retryTimeoutMs(12_000, { send: cached, retry: uncached })).toBeCloseTo(1350);
   });
 
-  it('wait longer while few answers are known', () => {
-    // Symptom: on a calm day one download in twelve is sent to two targets,
-    // each of which starts on a new object. Sequence: an instance of many has
-    // had three answers in its memory's time; the next one takes longer than
-    // the longest of them. Cause: the longest of three stood for the longest.
+  it('wait longer while few response times are known', () => {
+    // Failure: under low load one download in twelve was sent to two targets, and
+    // both loaded the object. In a large fleet an instance had only three response
+    // times in its window; the next one exceeded their maximum, which was used as
+    // if it were the overall maximum.
     const random = seeded(4);
     const answerMs = () => 200 - 150 * Math.log(1 - random());
     const rounds = 4000;
--- a/packages/gateway/src/requests/__tests__/waitedBefore.test.ts
+++ b/packages/gateway/src/requests/__tests__/waitedBefore.test.ts
@@ -1,12 +1,12 @@
-/** How long callers have surely waited before an attempt. */
+/** Lower bound of the time that callers have waited before an attempt. */
 import { describe, expect, it } from 'vitest';
 import { routeName } from '@cardamomladder/types';
 import { WaitedBefore } from '../waitedBefore';
 
 const lookups = routeName('lookups');
 
-describe('the wait before an attempt', () => {
-  it('is what an attempt states less than any first one would', () => {
+describe('the estimated wait before an attempt', () => {
+  it('is the difference between its timeout and the shortest plausible initial one', () => {
     const estimator = new WaitedBefore();
     const timeouts = [4000, 4600, 3400, 2000, 300];
     expect(timeouts.map((ms) => Math.round(estimator.take(lookups, ms)))).toEqual([
--- a/packages/gateway/src/requests/callerRequest.ts
+++ b/packages/gateway/src/requests/callerRequest.ts
@@ -1,4 +1,4 @@
-/** A caller's request as the gateway handles it: its route, its identity and the time it has. */
+/** A caller's request as the gateway handles it: route, identity and deadline. */
 import type { IncomingMessage } from 'node:http';
 import type { Customer } from '@cardamomladder/customers';
 import type { Route } from '@cardamomladder/routing';
@@ -12,64 +12,64 @@
 import { objectKey, requestId } from '@cardamomladder/types';
 import type { HeaderNames } from '../wireNames';
 
-/** One caller's request, read whole. Times on the steady clock, ms. */
+/** A caller's request with its complete body. Times on the monotonic clock, ms. */
 export interface CallerRequest {
   id: RequestId;
   /** The address that the caller connected from. */
   caller: string;
-  /** What the caller proves itself with; empty when it does not. */
+  /** The caller's credentials; empty if it sent none. */
   credentials: string;
-  /** The host that the caller named. */
+  /** The requested host. */
   host: string;
   method: string;
   /** Path and query, as the caller sent them. */
   path: string;
   route: Route;
   service: ServiceName;
-  /** Whose request it is; unset on public routes, and where customers have no keys. */
+  /** The authenticated customer; unset on public routes, and if API keys aren't configured. */
   customer: Customer | undefined;
-  /** Regions in which it may run; empty: anywhere. */
+  /** Regions in which the request may run; empty for any region. */
   homeRegions: readonly RegionName[];
-  /** 0 is the most urgent: its customer's, or else its route's. */
+  /** Priority of the customer, or else of the route; 0 is the highest. */
   priority: number;
   key: ObjectKey;
   body: Buffer | undefined;
   arrivedAt: number;
-  /** When the final answer is due at the latest. */
+  /** Deadline for the response. */
   finalAt: number;
-  /** How long its caller has surely waited before, ms. */
+  /** Lower bound of the time that the caller has already waited in earlier attempts, ms. */
   waitedBeforeMs: number;
 }
 
-/** A caller that states no time gets this long, ms. */
+/** Timeout of callers that send none, ms. */
 const DEFAULT_TIMEOUT_MS = 30_000;
 
 const firstValue = (value: string | string[] | undefined): string | undefined =>
   Array.isArray(value) ? value[0] : value;
 
-/** How long the caller says that it will wait, ms; undefined when it says nothing usable. */
+/** The timeout that the caller sent, ms; undefined if missing or invalid. */
 export const statedWaitMs = (req: IncomingMessage, names: HeaderNames): number | undefined => {
   const value = Number(firstValue(req.headers[names.waitMs]));
   return Number.isFinite(value) && value > 0 ? value : undefined;
 };
 
-/** When the final answer to a request on `route` is due, for a caller that waits `waitMs`. */
+/** Deadline of a request on `route` whose caller waits `waitMs`. */
 export const finalAnswerAt = (
   route: Route,
   waitMs: number | undefined,
   arrivedAt: number,
 ): number => arrivedAt + Math.min(waitMs ?? DEFAULT_TIMEOUT_MS, route.timeoutMs ?? Infinity);
 
-/** The caller's id of this attempt; undefined when it sent none. */
+/** The caller's id of this attempt; undefined if missing. */
 export const requestIdOf = (req: IncomingMessage, names: HeaderNames): RequestId | undefined => {
   const value = firstValue(req.headers[names.requestId]);
   return value === undefined || value === '' ? undefined : requestId(value);
 };
 
 /**
- * What placing goes by: the object as the route knows it, or the request's id
- * when it names no object. Targets remember what they loaded for one route
- * apart from what another route asks of the same object.
+ * The key by which a request is placed: its object within the route, or the
+ * request's id if it names no object. Targets cache an object separately for
+ * each route.
  */
 export const placingKey = (
   req: IncomingMessage,
@@ -81,11 +81,10 @@
   return objectKey(objectName === undefined ? id : `${route}|${objectName}`);
 };
 
-/** All values of a header, in the order sent; Node itself keeps only the first of some. */
+/** All values of a header in the order sent; for some headers Node keeps only the first. */
 export const headerValues = ({ rawHeaders }: IncomingMessage, name: string): string[] =>
   rawHeaders.filter((_, i) => i % 2 === 1 && rawHeaders[i - 1].toLowerCase() === name);
 
-/** True when the request can have a body. */
 export const hasBody = (req: IncomingMessage): boolean =>
   req.headers['transfer-encoding'] !== undefined ||
   (req.headers['content-length'] !== undefined && req.headers['content-length'] !== '0');
--- a/packages/gateway/src/requests/crashEvidence.ts
+++ b/packages/gateway/src/requests/crashEvidence.ts
@@ -1,4 +1,4 @@
-/** What a send tells of whether its request crashes targets. */
+/** Derives from the outcomes of sends whether a request crashes targets. */
 import { CRASHES_OF_A_CAUSE } from '@cardamomladder/steering';
 import { pause } from '@cardamomladder/types';
 import type { AttemptOutcome } from '../targets/attempt';
@@ -6,14 +6,14 @@
 import { FIRST_SERVER_ERROR } from './retryPolicy';
 import type { RequestExecution } from './serving';
 
-/** When a caller whose request is held may try again, ms: one that is held on suspicion alone is let go within two minutes. */
+/** Retry-After of quarantined requests, ms: a request quarantined on suspicion alone is released within two minutes. */
 export const QUARANTINE_RETRY_AFTER_MS = 30_000;
-/** How long a repeat of a suspected request waits to hear whether its target crashed, ms: the way there and back between any two regions, and some for a busy instance. */
+/** How long a retry of a suspected request waits for the crash check, ms: the round trip between any two regions, with a margin for a busy instance. */
 const CRASH_CHECK_TIMEOUT_MS = 100;
-/** From so many crashes under a request an answer to it is reported: one more without it and the request would be held everywhere. */
+/** Number of crashes attributed to a request from which a response to it is reported: after one more crash without a response, all instances would quarantine it. */
 const MIN_CRASHES_TO_REPORT_RESPONSE = CRASHES_OF_A_CAUSE - 1;
 
-/** Has it looked into whether the target crashed; never rejects. */
+/** Checks whether the target crashed; never rejects. */
 const checkForCrash = async (
   execution: RequestExecution,
   target: ReachableTarget,
@@ -27,10 +27,10 @@
 };
 
 /**
- * Takes a send's outcome. A repeat goes out at once, as nearly all requests
- * whose connection closed crash nothing; only that of a suspected one waits
- * until it is known whether this was a crash too, or it would end one more
- * target before the crash counts.
+ * Records the outcome of a send as evidence. Retries aren't delayed in general,
+ * as nearly all requests whose connection closed crash nothing. Only the retry
+ * of a suspected request waits for the crash check, as it could otherwise crash
+ * another target before this crash is counted.
  */
 export const recordCrashEvidence = async (
   execution: RequestExecution,
@@ -44,7 +44,7 @@
       await Promise.race([crashCheck, pause(CRASH_CHECK_TIMEOUT_MS)]);
     return;
   }
-  // A target that fails part of its requests may answer before it works on one.
+  // A target that fails some of its requests may respond with an error before it processes them.
   if (outcome.kind !== 'answer' || outcome.status >= FIRST_SERVER_ERROR) return;
   answeredLately.note(execution.requestDigest);
   if (
--- a/packages/gateway/src/requests/digest.ts
+++ b/packages/gateway/src/requests/digest.ts
@@ -1,15 +1,15 @@
-/** The digests by which a request is known again, whichever instance gets it next. */
+/** Digests that identify a request across attempts and instances. */
 import { createHash } from 'node:crypto';
 import type { CallerDigest, RequestDigest } from '@cardamomladder/types';
 import { callerDigest, requestDigest } from '@cardamomladder/types';
 import type { CallerRequest } from './callerRequest';
 
-/** Length of a request's digest, characters of base64: 96 bits, so that no two requests of a day share one. */
+/** Length of a request digest in base64 characters: 96 bits, so that no two requests of a day collide. */
 const REQUEST_DIGEST_LENGTH = 16;
-/** Length of a caller's, 48 bits: it only tells apart callers that ask the same. */
+/** Length of a caller digest, 48 bits: it only distinguishes callers that send the same request. */
 const CALLER_DIGEST_LENGTH = 8;
 
-/** What tells one request from another; its id does not, as each attempt has a new one. */
+/** The fields that identify a request. The request id isn't one of them, as each attempt has a new id. */
 export type DigestedRequest = Pick<
   CallerRequest,
   'caller' | 'credentials' | 'method' | 'host' | 'path' | 'body'
@@ -21,10 +21,10 @@
   return hash.digest('base64url').slice(0, length);
 };
 
-/** What is asked, whoever asks. */
+/** Digest of a request without its caller. */
 export const requestDigestOf = ({ method, host, path, body }: DigestedRequest): RequestDigest =>
   requestDigest(truncatedHash(REQUEST_DIGEST_LENGTH, `${method}\n${host}\n${path}\n`, body));
 
-/** Who asks. One caller may come from several addresses, and several from one. */
+/** Digest of a request's caller. A caller may use several addresses, and an address may serve several callers. */
 export const callerDigestOf = ({ caller, credentials }: DigestedRequest): CallerDigest =>
   callerDigest(truncatedHash(CALLER_DIGEST_LENGTH, `${caller}\n${credentials}`));
--- a/packages/gateway/src/requests/repeatBudgets.ts
+++ b/packages/gateway/src/requests/repeatBudgets.ts
@@ -1,11 +1,11 @@
-/** The repeat budgets of all services at this instance, made as services are first asked for. */
+/** Retry budgets of this instance, one per service, created on first use. */
 import type { InstanceSettings } from '@cardamomladder/settings';
 import { RepeatBudget } from '@cardamomladder/steering';
 import type { ServiceName } from '@cardamomladder/types';
 
 const MS_PER_SECOND = 1000;
 
-/** Finds a service's budget under the bounds in force when it was first asked for. */
+/** Returns a function that finds a service's budget; the bounds are read when the budget is created. */
 export const repeatBudgets = (
   bounds: () => InstanceSettings['bounds'],
 ): ((service: ServiceName) => RepeatBudget) => {
--- a/packages/gateway/src/requests/retryPolicy.ts
+++ b/packages/gateway/src/requests/retryPolicy.ts
@@ -1,7 +1,7 @@
 /**
- * Whether, and after how long, a request is sent to another target. At most
- * once is decided here: a request that must not run twice is sent again only
- * when the send before surely did not run.
+ * Decides whether and after what time a request is retried on another target.
+ * At-most-once execution is enforced here: a non-idempotent request is retried
+ * only if the previous send is known not to have run.
  */
 import type { RequestKind } from '@cardamomladder/routing';
 import { repeatable } from '@cardamomladder/routing';
@@ -10,34 +10,34 @@
 import type { AttemptOutcome } from '../targets/attempt';
 import { isFramed } from '../targets/attempt';
 
-/** A target's own failure from here on is worth another target's answer. */
+/** Responses with this status or a higher one are retried on another target. */
 export const FIRST_SERVER_ERROR = 500;
-/** A send with less time left than this, ms, is not worth making. */
+/** Minimum time left before the deadline for a retry, ms. */
 export const MIN_SEND_TIME_MS = 30;
-/** True when sending the request once more can't break at-most-once and may help. */
+/** True if a retry may help and can't break at-most-once execution. */
 export const shouldRetry = (kind: RequestKind, outcome: AttemptOutcome): boolean => {
   if (outcome.kind === 'not-run') return true;
   if (!repeatable(kind)) return false;
   if (outcome.kind === 'lost') return outcome.reason !== 'cancelled';
   if (outcome.remaining !== undefined) return false;
-  // An answer without a stated length may have ended early.
+  // A response without framing may be truncated.
   return outcome.status >= FIRST_SERVER_ERROR || !isFramed(outcome.head);
 };
 
-/** The longest answers of late that tell whether a send is silent, and whether a repeat can still be answered. */
+/** The longest recent response times, which determine a send's timeout and whether a retry can finish in time. */
 export interface ExpectedLatency {
-  /** Of sends like this one: to targets that remember the object, or to which it is new. */
+  /** Of sends of the same kind: to targets that have the object cached, or to those that don't. */
   send: LongestKnown;
-  /** Of sends like the repeat, to whose target the object is most likely new. */
+  /** Of sends like the retry, whose target most likely doesn't have the object cached. */
   retry: LongestKnown;
 }
 
 /**
- * How long to wait for a send's answer before a repeat is thought of, ms;
- * undefined: it is waited for to the end. Connections go silent without a
- * sign, and answers get lost; but a target that is slow as it has much to do,
- * or the object is new to it, gets no better by a second send. A repeat that
- * could not be answered in time only takes the first send's answer away.
+ * How long to wait for a send's response before a retry is considered, ms;
+ * undefined to wait until the deadline. Connections can stall and responses can
+ * get lost without an error, but a retry doesn't help if the target is merely
+ * overloaded or has to load the object first. A retry that can't finish before
+ * the deadline would only discard the first send's response.
  */
 export const retryTimeoutMs = (leftMs: number, longest: ExpectedLatency): number | undefined => {
   const { send, retry } = longest;
--- a/packages/gateway/src/requests/send.ts
+++ b/packages/gateway/src/requests/send.ts
@@ -1,4 +1,4 @@
-/** One send of a request to one target: its headers, its bookkeeping and what it teaches. */
+/** Sends a request to one target: sets its headers, tracks load, and records the outcome. */
 import type { OutgoingHttpHeaders } from 'node:http';
 import { SpanKind, context, trace } from '@opentelemetry/api';
 import { repeatable } from '@cardamomladder/routing';
@@ -51,21 +51,21 @@
   }));
 };
 
-/** A send under way; `outcome` resolves once its lesson is taken. */
+/** A send in progress; `outcome` resolves after it has been recorded. */
 export interface Send {
   outcome: Promise<AttemptOutcome>;
-  /** True if the target had been sent the object before. */
+  /** True if the target had been sent the object before, so that it is likely cached. */
   likelyCached: boolean;
   cancel: () => void;
 }
 
-/** How long a send takes at most, as far as known, ms. */
+/** Expected maximum duration of a send, ms; Infinity if unknown. */
 const expectedMs = ({ request, ctx }: RequestExecution, likelyCached: boolean): number => {
   const { longest } = ctx.registry.forService(request.service);
   return overdueAfter(longest[likelyCached ? 'cached' : 'uncached'].now(ctx.now())) ?? Infinity;
 };
 
-/** Sends to one target. */
+/** Starts sending the request to a target. */
 export const startSend = (execution: RequestExecution, target: ReachableTarget): Send => {
   const { request, ctx } = execution;
   const { placed } = target;
--- a/packages/gateway/src/requests/serve.ts
+++ b/packages/gateway/src/requests/serve.ts
@@ -1,6 +1,6 @@
 /**
- * Serves one request: place, send, repeat where that is allowed and worth it,
- * and give one final answer no later than it is due.
+ * Handles one request: chooses a target, sends, retries where allowed and
+ * useful, and returns one final response no later than the deadline.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Span } from '@opentelemetry/api';
@@ -11,8 +11,8 @@
 import type { ReachableTarget } from '../targets/registry';
 import { answerOwn, relay } from './answers';
 import type { CallerRequest } from './callerRequest';
+import { QUARANTINE_RETRY_AFTER_MS, recordCrashEvidence } from './crashEvidence';
 import { MIN_SEND_TIME_MS, retryTimeoutMs, shouldRetry } from './retryPolicy';
-import { recordCrashEvidence, QUARANTINE_RETRY_AFTER_MS } from './crashEvidence';
 import type { Send } from './send';
 import { startSend } from './send';
 import type { ServeContext, ServeOutcome } from './serving';
@@ -23,7 +23,7 @@
 const localityOf = ({ route }: CallerRequest): Locality =>
   route.kind === 'download' ? 'near' : 'balanced';
 
-/** Chooses the next target, or says why there is none. */
+/** Chooses the next target, or returns the reason for rejecting the request. */
 const chooseTarget = (execution: RequestExecution) => {
   const { request, ctx, tried } = execution;
   const { pool, rankings } = ctx.registry.forService(request.service);
@@ -45,8 +45,8 @@
 };
 
 /**
- * Takes the place in a limited target's pace when the target is chosen: until
- * the request is sent, others may be placed.
+ * Counts the request against the target's rate limit as soon as the target is
+ * chosen, as other requests may be placed before this one is sent.
  */
 const consumeRateLimit = (
   target: ReachableTarget | undefined,
@@ -56,7 +56,7 @@
   return target;
 };
 
-/** The target of one more send, if the request, its time and the budget allow one. */
+/** Chooses the target of a retry, if the request, its deadline and the retry budget allow one. */
 const chooseRetryTarget = (
   execution: RequestExecution,
   outcome: AttemptOutcome,
@@ -68,7 +68,7 @@
   const choice = chooseTarget(execution);
   if (choice.kind === 'rejected') return undefined;
   const target = ctx.registry.get(choice.target.id);
-  // A send that reached nobody put no load on any target.
+  // A send without a connection put no load on any target, so its retry is free.
   const exemptFromBudget = outcome.kind === 'not-run' && outcome.reason === 'unreachable';
   const granted =
     target && (exemptFromBudget || ctx.budgetOf(request.service).spend(ctx.now(), ctx.fleetSize()));
@@ -79,7 +79,7 @@
 
 const TIMED_OUT: AttemptOutcome = { kind: 'lost', reason: 'timeout' };
 
-/** Waits until a send has been silent for too long; the next target then, if it may go there. */
+/** Waits for a response until the retry timeout; then returns the target of a retry, if one is allowed. */
 const chooseTargetAfterTimeout = async (
   execution: RequestExecution,
   send: Send,
@@ -104,10 +104,10 @@
   return first === 'silent' ? chooseRetryTarget(execution, TIMED_OUT) : undefined;
 };
 
-/** A caller whose targets refused or could not be reached may come back after this, ms. */
+/** Retry-After when all targets refused the request or were unreachable, ms. */
 const REFUSED_RETRY_AFTER_MS = 150;
 
-/** What placing saw, for the log: the targets, how old their reports are, and the versions in force. */
+/** The input of the placement decision, for the log: targets, age of their load reports, and versions in use. */
 const placementDetails = ({ request, ctx }: RequestExecution) => {
   const { pool, rankings } = ctx.registry.forService(request.service);
   return {
@@ -139,7 +139,7 @@
   return 'rejected';
 };
 
-/** The final answer when time has run out. */
+/** Ends the request at its deadline. */
 const timeOut = (execution: RequestExecution): ServeOutcome => {
   const { request, ctx } = execution;
   ctx.log.write('timed-out', request.id, {
@@ -151,7 +151,7 @@
   return 'timed-out';
 };
 
-/** The final answer after the last send. */
+/** Returns the final response after the last send. */
 const finish = async (
   execution: RequestExecution,
   outcome: AttemptOutcome,
@@ -169,7 +169,7 @@
   return 'failed';
 };
 
-/** Sends until there is an answer, nothing more may be sent, or the request has ended. */
+/** Sends and retries until there is a response, no further send is allowed, or the request was aborted. */
 const sendUntilAnswered = async (execution: RequestExecution): Promise<ServeOutcome> => {
   if (execution.quarantined) return reject(execution, 'quarantined', QUARANTINE_RETRY_AFTER_MS);
   const choice = chooseTarget(execution);
@@ -189,13 +189,13 @@
     if (outcome.kind === 'not-run' && outcome.reason === 'unreachable')
       execution.countUnreachableSend();
     target = targetAfterTimeout ?? chooseRetryTarget(execution, outcome);
-    // A target's own failure is a better answer than none from the next one.
+    // An error response from one target is preferred to no response from the next.
     if (!target) return finish(execution, lastResponse ?? outcome, mayHaveRun);
   }
   return reject(execution, 'no-target', REFUSED_RETRY_AFTER_MS);
 };
 
-/** Serves one request to its end; never rejects. */
+/** Handles one request to completion; never rejects. */
 export const serve = async (
   request: CallerRequest,
   req: IncomingMessage,
--- a/packages/gateway/src/requests/serving.ts
+++ b/packages/gateway/src/requests/serving.ts
@@ -1,4 +1,4 @@
-/** The state of one request while it is served, and what serving needs of the instance. */
+/** The state of a request in progress, and the dependencies for handling requests. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Span } from '@opentelemetry/api';
 import type { CrashReports } from '@cardamomladder/fleet';
@@ -21,7 +21,7 @@
 import type { CallerRequest } from './callerRequest';
 import { callerDigestOf, requestDigestOf } from './digest';
 
-/** What serving needs of the instance. */
+/** Dependencies for handling requests, provided by the instance. */
 export interface ServeContext {
   wire: Wire;
   registry: TargetRegistry;
@@ -30,11 +30,11 @@
   answeredLately: AnsweredLately;
   crashReports: Pick<CrashReports, 'answered'>;
   budgetOf: (service: ServiceName) => RepeatBudget;
-  /** Instances that share the repeat budget. */
+  /** Number of instances that share the retry budget. */
   fleetSize: () => number;
-  /** True when customers have keys, which targets must not see. */
+  /** True when customers authenticate with API keys, which must not be forwarded to targets. */
   keysRequired: () => boolean;
-  /** Versions of what is believed, for the log. */
+  /** Versions of the configuration and of the store data in use, for the log. */
   versions: () => { configuration: number } & StoreMoment;
   metrics: GatewayMetrics;
   log: DecisionLog;
@@ -44,19 +44,19 @@
 /** How a request ended. */
 export type ServeOutcome = 'answered' | 'rejected' | 'failed' | 'timed-out' | 'caller-left';
 
-/** Most sends that reached nobody, beside those that the route allows: half a failure domain may have gone at once. */
+/** Sends allowed on top of the route's limit if connections fail: half a failure domain may fail at once. */
 const EXTRA_SENDS = 2;
 
-/** The state of one request while it is served. */
+/** The state of a request in progress. */
 export class RequestExecution {
   readonly tried = new Set<TargetId>();
 
   sends = 0;
 
-  /** More urgent than most of its service's requests of late. */
+  /** True if the request's priority is higher than that of most recent requests of its service. */
   readonly urgent: boolean;
 
-  /** Set once the caller has gone or the final answer was given. */
+  /** Set once the caller has disconnected or the request has timed out. */
   ended: ServeOutcome | undefined;
 
   private currentAttempt: Attempt | undefined;
@@ -66,61 +66,58 @@
     readonly req: IncomingMessage,
     readonly res: ServerResponse,
     readonly ctx: ServeContext,
-    /** The request's span; its sends are the span's children. */
+    /** The request's span, the parent of the spans of its sends. */
     readonly span: Span,
   ) {
     const { usualPriority } = ctx.registry.forService(request.service);
     this.urgent = usualPriority.take(request.priority);
   }
 
-  /** Sends that reached nobody: no connection was made. */
+  /** Sends for which no connection could be established. */
   private unreachable = 0;
 
   private cachedRequestDigest: RequestDigest | undefined;
 
   private cachedCallerDigest: CallerDigest | undefined;
 
-  /** What is asked, whoever asks; worked out when it is first needed. */
+  /** Digest of the request without its caller; computed on first use. */
   get requestDigest(): RequestDigest {
     this.cachedRequestDigest ??= requestDigestOf(this.request);
     return this.cachedRequestDigest;
   }
 
-  /** What is asked, and by whom. The caller's part is needed only while a crash is suspected. */
+  /** Digests of the request and its caller; the caller's is computed on first use, as few requests need it. */
   get asked(): AskedRequest {
     this.cachedCallerDigest ??= callerDigestOf(this.request);
     return { request: this.requestDigest, caller: this.cachedCallerDigest };
   }
 
-  /** True when the request must not be sent to a target, as it crashes them. */
+  /** True if the request is quarantined because it crashes targets. */
   get quarantined(): boolean {
     const { quarantine } = this.ctx;
     return !quarantine.idle && quarantine.holds(this.asked);
   }
 
-  /** Counts a send to `target`. */
   countSend(target: TargetId): void {
     this.sends += 1;
     this.tried.add(target);
   }
 
-  /** Notes that a send reached nobody. */
   countUnreachableSend(): void {
     this.unreachable += 1;
   }
 
-  /** True while one more send keeps to the route's limit; those that reached nobody count only against runaway tries. */
+  /** True while the route's limit allows another send; sends without a connection only count towards a higher limit. */
   get maySendMore(): boolean {
     const { maxAttempts } = this.request.route;
     return this.sends - this.unreachable < maxAttempts && this.sends < maxAttempts + EXTRA_SENDS;
   }
 
-  /** Notes the send that is under way. */
   setCurrentAttempt(attempt: Attempt): void {
     this.currentAttempt = attempt;
   }
 
-  /** Ends the request from outside its sends: the caller left, or the answer is due. */
+  /** Ends the request early, because the caller disconnected or the deadline has passed. */
   abort(outcome: 'timed-out' | 'caller-left'): void {
     if (this.ended) return;
     this.ended = outcome;
--- a/packages/gateway/src/requests/targetHealth.ts
+++ b/packages/gateway/src/requests/targetHealth.ts
@@ -1,29 +1,29 @@
 /**
- * What each send teaches about its target: load, speed, and whether to leave
- * it alone for a while.
+ * Updates a target's state from the outcome of each send: load, response time,
+ * and backoff after failures.
  */
 import type { PlacedTarget } from '@cardamomladder/steering';
 import { learnAnswerMs } from '@cardamomladder/steering';
 import type { AttemptOutcome } from '../targets/attempt';
 
-/** First pause after a failed connection or a lost answer, ms; doubled per failure in a row. */
+/** Initial backoff after a failed connection or lost responses, ms; doubled with each consecutive failure. */
 const INITIAL_BACKOFF_MS = 400;
-/** Longest such pause, ms: a target that came back is found again within this. */
+/** Maximum backoff, ms: a recovered target gets requests again within this time. */
 const MAX_BACKOFF_MS = 3000;
-/** Lost answers in a row from which the target is left alone; one alone may be the connection's. */
+/** Consecutive lost responses before the target is backed off; a single one may be a connection failure. */
 const MIN_CONSECUTIVE_LOSSES = 2;
-/** A target at whose address another one answered is gone for good; its entry follows within seconds. */
+/** Backoff if another target responded at the address, ms: this one is gone for good, and its entry is removed within seconds. */
 const WRONG_TARGET_BACKOFF_MS = 60_000;
-/** A refusal without a load report is taken as "full" for this long, ms. */
+/** How long a target is considered full after a refusal without a load report, ms. */
 const REFUSAL_BACKOFF_MS = 150;
 
-/** How the target stood when a request was sent. */
+/** State of the target when a request was sent. */
 export interface SendState {
-  /** It had been sent the object before. */
+  /** True if the target had been sent the object before. */
   likelyCached: boolean;
-  /** Requests it had, as far as known. */
+  /** Estimated number of requests in progress at the target. */
   busy: number;
-  /** True if, when the send ended, the target had answered nothing since it was made, though one was overdue. */
+  /** True if, when the send ended, a send to the target was overdue and the target had not responded since that one started. */
   silent?: boolean;
 }
 
@@ -52,7 +52,7 @@
   }
 };
 
-/** Takes the outcome of one send that took `ms`. */
+/** Records the outcome of a send that took `ms`. */
 export const recordOutcome = (
   target: PlacedTarget,
   outcome: AttemptOutcome,
--- a/packages/gateway/src/requests/targetStatements.ts
+++ b/packages/gateway/src/requests/targetStatements.ts
@@ -1,14 +1,14 @@
-/** Takes what targets say of themselves in their answers. */
+/** Applies what targets report about themselves in their responses. */
 import type { HeardLimit, PlacedTarget } from '@cardamomladder/steering';
 import type { ResponseSource } from '../targets/attempt';
 import type { TargetStatement } from '../wireNames';
 import type { ServeContext } from './serving';
 
-/** A statement and the answer that it came with. */
+/** A target's statement, and the response that carried it. */
 export interface ReceivedStatement {
   statement: TargetStatement;
   source: ResponseSource;
-  /** When the request was sent that this answers; steady clock, ms. */
+  /** When the corresponding request was sent; monotonic clock, ms. */
   sentAt: number;
 }
 
@@ -35,19 +35,19 @@
   log.write('target-leaving', undefined, { target: target.id, believedLeaving: target.leaving });
 };
 
-/** No pause lasts longer, ms: a target that asks for more is asked again. */
+/** Longest pause, ms: a target that requests a longer one is tried again after this time. */
 const MAX_PAUSE_MS = 3_600_000;
 
 const applyPause = (restMs: number, target: PlacedTarget, { log, now }: StatementContext): void => {
   const { id, selfReport } = target;
   const until = now() + Math.min(restMs, MAX_PAUSE_MS);
-  // A shorter pause that is asked for later does not end one that lasts.
+  // A later request for a shorter pause does not shorten the current one.
   selfReport.restUntil = Math.max(selfReport.restUntil, until);
   const sentLately = selfReport.limit.sentLately(now());
   log.write('target-rest', undefined, { target: id, restMs, sentLately });
 };
 
-/** Takes a statement of a target; what it changes is logged. */
+/** Applies a target's statement and logs the changes. */
 export const applyStatement = (
   { statement, source, sentAt }: ReceivedStatement,
   target: PlacedTarget,
--- a/packages/gateway/src/requests/waitedBefore.ts
+++ b/packages/gateway/src/requests/waitedBefore.ts
@@ -1,19 +1,19 @@
 /**
- * How long callers have waited in attempts before this one. Each attempt
- * states the time that is left, so one that states far less than the longest
- * for its route has used the difference up. Callers differ in patience by some
- * part; a smaller difference than that says nothing.
+ * Estimates how long callers have already waited in earlier attempts. Each
+ * attempt carries the caller's remaining timeout, so a value far below the
+ * longest one seen on its route means that the difference has been used up.
+ * Initial timeouts vary between callers; smaller differences are ignored.
  */
 import type { RouteName } from '@cardamomladder/types';
 
-/** By how much callers of a route differ in the time they state at first, as a part of the longest. */
+/** Variation of the initial timeouts of a route's callers, as a fraction of the longest. */
 const TIMEOUT_VARIATION = 0.3;
 
-/** The longest time stated per route. Times in ms. */
+/** Tracks the longest timeout seen per route. Times in ms. */
 export class WaitedBefore {
   private readonly longestTimeoutMs = new Map<RouteName, number>();
 
-  /** Takes the time that an attempt states, and says how long its caller has surely waited before. */
+  /** Records an attempt's timeout and returns a lower bound of its caller's earlier waiting time. */
   take(route: RouteName, statedMs: number): number {
     const longestMs = Math.max(this.longestTimeoutMs.get(route) ?? 0, statedMs);
     this.longestTimeoutMs.set(route, longestMs);
