--- /dev/null
+++ b/packages/gateway/src/requests/retryPolicy.ts
@@ -0,0 +1,47 @@
+/**
+ * Decides whether and after what time a request is retried on another target.
+ * At-most-once execution is enforced here: a non-idempotent request is retried
+ * only if the previous send is known not to have run.
+ */
+import type { RequestKind } from '@cardamomladder/routing';
+import { repeatable } from '@cardamomladder/routing';
+import type { LongestKnown } from '@cardamomladder/steering';
+import { overdueAfter } from '@cardamomladder/steering';
+import type { AttemptOutcome } from '../targets/attempt';
+import { isFramed } from '../targets/attempt';
+
+/** Responses with this status or a higher one are retried on another target. */
+export const FIRST_SERVER_ERROR = 500;
+/** Minimum time left before the deadline for a retry, ms. */
+export const MIN_SEND_TIME_MS = 30;
+/** True if a retry may help and can't break at-most-once execution. */
+export const shouldRetry = (kind: RequestKind, outcome: AttemptOutcome): boolean => {
+  if (outcome.kind === 'not-run') return true;
+  if (!repeatable(kind)) return false;
+  if (outcome.kind === 'lost') return outcome.reason !== 'cancelled';
+  if (outcome.remaining !== undefined) return false;
+  // A response without framing may be truncated.
+  return outcome.status >= FIRST_SERVER_ERROR || !isFramed(outcome.head);
+};
+
+/** The longest recent response times, which determine a send's timeout and whether a retry can finish in time. */
+export interface ExpectedLatency {
+  /** Of sends of the same kind: to targets that have the object cached, or to those that don't. */
+  send: LongestKnown;
+  /** Of sends like the retry, whose target most likely doesn't have the object cached. */
+  retry: LongestKnown;
+}
+
+/**
+ * How long to wait for a send's response before a retry is considered, ms;
+ * undefined to wait until the deadline. Connections can stall and responses can
+ * get lost without an error, but a retry doesn't help if the target is merely
+ * overloaded or has to load the object first. A retry that can't finish before
+ * the deadline would only discard the first send's response.
+ */
+export const retryTimeoutMs = (leftMs: number, longest: ExpectedLatency): number | undefined => {
+  const { send, retry } = longest;
+  const waitMs = overdueAfter(send);
+  if (waitMs === undefined) return undefined;
+  return waitMs + Math.max(retry.ms, send.ms) <= leftMs ? waitMs : undefined;
+};
--- a/packages/gateway/src/targets/__tests__/crashWitness.test.ts
+++ b/packages/gateway/src/targets/__tests__/crashWitness.test.ts
@@ -1,4 +1,4 @@
-/** Telling a crashed target from a broken connection, on real sockets. */
+/** Distinguishing a crashed target from a broken connection, on real sockets. */
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createServer } from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -22,10 +22,10 @@
 let port: number;
 let connections: TargetConnections;
 let crashes: TargetCrash[];
-let looks: number;
-let witness: CrashWitness;
+let refusalChecks: number;
+let detector: CrashWitness;
 
-const targetNow = (): ReachableTarget =>
+const createTarget = (): ReachableTarget =>
   ({
     host: '127.0.0.1',
     port,
@@ -33,7 +33,7 @@
     entry: { id: targetId('t-1'), startedAt: 7 } as TargetEntry,
   }) as unknown as ReachableTarget;
 /** Sends a request that the target never answers. */
-const begin = (): Attempt => beginSend(port, connections);
+const startSend = (): Attempt => beginSend(port, connections);
 const connected = async (count: number): Promise<void> => {
   while (sockets.length < count)
     await new Promise((resolve) => {
@@ -44,11 +44,11 @@
 beforeEach(async () => {
   sockets = [];
   crashes = [];
-  looks = 0;
+  refusalChecks = 0;
   connections = new TargetConnections(8, () => performance.now(), new IdleLimit());
-  witness = new CrashWitness(
+  detector = new CrashWitness(
     (host, at) => {
-      looks += 1;
+      refusalChecks += 1;
       return refusesConnections(host, at);
     },
     (crash) => crashes.push(crash),
@@ -68,64 +68,63 @@
   server.close();
 });
 
-describe('a connection that closes under a request', () => {
-  it('shows a crash when all of them close and new ones are refused', async () => {
-    const target = targetNow();
-    const sends = [begin(), begin()];
+describe('a connection that closes during a request', () => {
+  it('indicates a crash if all connections close and new ones are refused', async () => {
+    const target = createTarget();
+    const sends = [startSend(), startSend()];
     await connected(2);
     server.close();
     sockets.forEach((socket) => socket.resetAndDestroy());
     await Promise.all(sends.map((send) => send.outcome));
-    const found = await Promise.all([
-      witness.closedUnder(target, FIRST),
-      witness.closedUnder(target, SECOND),
+    const results = await Promise.all([
+      detector.checkClosedConnection(target, FIRST),
+      detector.checkClosedConnection(target, SECOND),
     ]);
-    expect(found).toEqual([true, true]);
-    expect(looks).toBe(1);
-    // One that is read later belongs to the same crash.
-    await witness.closedUnder(target, asked('third'));
+    expect(results).toEqual([true, true]);
+    expect(refusalChecks).toBe(1);
+    // A request whose close is detected later is attributed to the same crash.
+    await detector.checkClosedConnection(target, asked('third'));
     expect(crashes).toEqual([
       { run: 't-1@7', requests: [FIRST, SECOND] },
       { run: 't-1@7', requests: [asked('third')] },
     ]);
   });
 
-  it('shows a crash also when the others are read as closed a little later', async () => {
-    // Symptom: a crash is not reported, though each request there failed.
-    // Sequence: a busy instance reads the first close, then works on other
-    // things for some ms; the look finds the target's other connections open.
-    // Cause: one look, at a fixed time, decided.
-    const target = targetNow();
-    const sends = [begin(), begin()];
+  it('indicates a crash even if the other closes are detected slightly later', async () => {
+    // Failure: a crash was not reported although all requests to the target
+    // failed. A busy instance processed the first close and then other events for
+    // some ms; the only check, at a fixed time, found the other connections open.
+    const target = createTarget();
+    const sends = [startSend(), startSend()];
     await connected(2);
     server.close();
     sockets[0].resetAndDestroy();
     setTimeout(() => sockets[1].resetAndDestroy(), 25);
     await Promise.race(sends.map((send) => send.outcome));
-    expect(await witness.closedUnder(target, FIRST)).toBe(true);
+    expect(await detector.checkClosedConnection(target, FIRST)).toBe(true);
     expect(crashes).toEqual([{ run: 't-1@7', requests: [FIRST] }]);
   });
 
-  it('shows none while another connection of the target is open, and costs no look', async () => {
-    // Symptom: requests are blamed for crashes that never were. Sequence: a
-    // target loses the answer to one request by a reset and goes on serving
-    // the others. Cause: a reset alone was taken for the target's end.
-    const target = targetNow();
-    const sends = [begin(), begin()];
+  it('indicates no crash while another connection is open, without a refusal check', async () => {
+    // Failure: requests were blamed for crashes that never happened. A target
+    // lost the response to one request by a reset and continued with the others,
+    // but a reset alone was taken for a crash.
+    const target = createTarget();
+    const sends = [startSend(), startSend()];
     await connected(2);
     sockets[0].resetAndDestroy();
     await Promise.race(sends.map((send) => send.outcome));
-    expect(await witness.closedUnder(target, FIRST)).toBe(false);
-    expect({ crashes, looks }).toEqual({ crashes: [], looks: 0 });
+    expect(await detector.checkClosedConnection(target, FIRST)).toBe(false);
+    expect({ crashes, refusalChecks }).toEqual({ crashes: [], refusalChecks: 0 });
   });
 
-  it('shows none when the target takes a new connection', async () => {
-    const target = targetNow();
-    const send = begin();
+  it('indicates no crash if the target accepts a new connection', async () => {
+    const target = createTarget();
+    const send = startSend();
     await connected(1);
     sockets[0].resetAndDestroy();
     await send.outcome;
-    expect(await witness.closedUnder(target, FIRST)).toBe(false);
-    expect({ crashes, looks }).toEqual({ crashes: [], looks: 1 });
+    expect(await detector.checkClosedConnection(target, FIRST)).toBe(false);
+    expect({ crashes, refusalChecks }).toEqual({ crashes: [], refusalChecks: 1 });
   });
 });
--- a/packages/gateway/src/targets/__tests__/knownShares.test.ts
+++ b/packages/gateway/src/targets/__tests__/shareCache.test.ts
@@ -1,4 +1,4 @@
-/** Shares of cold targets, kept while the fleet stays the same. */
+/** Shares of cold targets, cached while the fleet is unchanged. */
 import { describe, expect, it } from 'vitest';
 import { Beliefs } from '@cardamomladder/fleet';
 import { coldShare } from '@cardamomladder/steering';
@@ -10,9 +10,9 @@
   targetId,
 } from '@cardamomladder/types';
 import { FleetMembers } from '../../lifecycle/fleetMembers';
-import { KnownShares } from '../knownShares';
+import { ShareCache } from '../shareCache';
 
-const TOLERATED = 13;
+const ALLOWANCE = 13;
 const TARGET = targetId('t-1');
 
 const setUp = (size: number) => {
@@ -37,37 +37,37 @@
     beliefs.remove(keyOf(i), revision);
   };
   const members = new FleetMembers(beliefs, () => at);
-  const shares = new KnownShares(
+  const shares = new ShareCache(
     () => members.list(),
-    (id, fleet, tolerated) => coldShare(id, 'i-0', fleet, tolerated),
+    (id, fleet, allowance) => coldShare(id, 'i-0', fleet, allowance),
   );
   Array.from({ length: size }, (_, i) => join(i));
-  const expected = () => coldShare(TARGET, 'i-0', members.list(), TOLERATED);
-  const pass = (ms: number) => {
+  const expected = () => coldShare(TARGET, 'i-0', members.list(), ALLOWANCE);
+  const advanceClock = (ms: number) => {
     at += ms;
   };
-  return { shares, expected, join, leave, pass, members };
+  return { shares, expected, join, leave, pass: advanceClock, members };
 };
 
 describe('the share of a cold target', () => {
-  it('follows the fleet as instances join, leave, and are forgotten', () => {
-    // Symptom: a cold target crashes though each instance kept to its share.
-    // Sequence: a share is kept, the fleet grows, and the kept share is used.
-    // Cause: what is kept has to go with any change of the fleet.
+  it('is updated when instances join, leave, and are no longer counted', () => {
+    // Failure: a cold target crashed although each instance stayed within its
+    // share. The fleet had grown, but the share cached before was still used; any
+    // change of the fleet must invalidate it.
     const { shares, expected, join, leave, pass, members } = setUp(2);
-    const follows = () => expect(shares.of(TARGET, TOLERATED)).toBe(expected());
-    follows();
+    const expectCurrentShare = () => expect(shares.get(TARGET, ALLOWANCE)).toBe(expected());
+    expectCurrentShare();
     join(2);
     join(3);
-    follows();
+    expectCurrentShare();
     leave(3);
-    follows();
+    expectCurrentShare();
     expect(members.size()).toBe(10);
     pass(31_000);
-    follows();
+    expectCurrentShare();
     expect(members.size()).toBe(3);
-    expect(shares.of(TARGET, 2 * TOLERATED)).toBe(
-      coldShare(TARGET, 'i-0', members.list(), 2 * TOLERATED),
+    expect(shares.get(TARGET, 2 * ALLOWANCE)).toBe(
+      coldShare(TARGET, 'i-0', members.list(), 2 * ALLOWANCE),
     );
   });
 });
--- a/packages/gateway/src/targets/regionDemand.ts
+++ b/packages/gateway/src/targets/regionDemand.ts
@@ -1,19 +1,21 @@
-/** Where requests come from: the parts of regions and of failure domains. */
+/** Relative demand of regions and failure domains, that is, where requests come from. */
 import type { FailureDomainName, RegionName } from '@cardamomladder/types';
 import { failureDomainName, regionName } from '@cardamomladder/types';
 
-/** Each region's part of all requests: callers stand in every failure domain alike. */
-export const demandOf = (domains: Readonly<Record<string, string>>): Map<RegionName, number> => {
-  const parts = new Map<RegionName, number>();
+/** Relative demand by region, assuming the same demand in each failure domain. */
+export const demandByRegion = (
+  domains: Readonly<Record<string, string>>,
+): Map<RegionName, number> => {
+  const counts = new Map<RegionName, number>();
   Object.values(domains).forEach((name) => {
     const region = regionName(name);
-    parts.set(region, (parts.get(region) ?? 0) + 1);
+    counts.set(region, (counts.get(region) ?? 0) + 1);
   });
-  return parts;
+  return counts;
 };
 
-/** Each failure domain's part of its region's requests. */
-export const domainDemandOf = (
+/** Relative demand by failure domain within a region. */
+export const demandByDomain = (
   domains: Readonly<Record<string, string>>,
   region: RegionName,
 ): Map<FailureDomainName, number> =>
