--- a/packages/routing/src/__tests__/routing.test.ts
+++ b/packages/routing/src/__tests__/routing.test.ts
@@ -1,4 +1,4 @@
-/** Route lookup and traffic splits. */
+/** Route lookup and traffic splitting. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { configurationVersion, routeName, serviceName } from '@cardamomladder/types';
@@ -19,7 +19,7 @@
 const limits = { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
 
 describe('route lookup', () => {
-  it('takes the longest prefix of the host, with or without a port and in any case', () => {
+  it('matches the longest path prefix of a host, ignoring port and letter case', () => {
     const table = routeTable({
       version: configurationVersion(1),
       services: [],
@@ -49,16 +49,16 @@
         fc.integer({ min: 1, max: 300 }),
         (weights, n) => {
           const split = trafficSplit();
-          const shared = route('r', 'h', '/', weights);
+          const splitRoute = route('r', 'h', '/', weights);
           const total = weights.reduce((a, b) => a + b, 0);
           const counts = new Map<string, number>();
           for (let i = 0; i < n; i += 1) {
-            const service = split.next(shared);
+            const service = split.next(splitRoute);
             counts.set(service, (counts.get(service) ?? 0) + 1);
           }
           weights.forEach((weight, i) => {
-            const off = (counts.get(`s${i}`) ?? 0) - (n * weight) / total;
-            expect(Math.abs(off)).toBeLessThanOrEqual(2);
+            const deviation = (counts.get(`s${i}`) ?? 0) - (n * weight) / total;
+            expect(Math.abs(deviation)).toBeLessThanOrEqual(2);
           });
         },
       ),
--- a/packages/routing/src/configuration.ts
+++ b/packages/routing/src/configuration.ts
@@ -1,7 +1,4 @@
-/**
- * The operators' configuration as the daemon uses it, whatever format it was
- * written in.
- */
+/** The operators' configuration in the form the daemon uses, independent of its source format. */
 import type { Customer } from '@cardamomladder/customers';
 import type {
   ConfigurationVersion,
@@ -10,16 +7,16 @@
   ServiceName,
 } from '@cardamomladder/types';
 
-/** Whether a request may run more than once. A download is idempotent with a large answer. */
+/** Whether a request may run more than once. A download is idempotent and has a large response. */
 export type RequestKind = 'idempotent' | 'non-idempotent' | 'download';
 
-/** One part of a route's traffic: a service and its weight among the parts. */
+/** One weighted destination of a route's traffic. */
 export interface Destination {
   service: ServiceName;
   weight: number;
 }
 
-/** How requests of one host and path prefix are served. Times in ms. */
+/** How requests for one host and path prefix are served. Times are in milliseconds. */
 export interface Route {
   name: RouteName;
   host: string;
@@ -27,32 +24,32 @@
   pathPrefix: string;
   kind: RequestKind;
   destinations: Destination[];
-  /** Most targets that one request may be sent to. */
+  /** Maximum number of targets that one request may be sent to. */
   maxAttempts: number;
-  /** Longest a caller is kept waiting; undefined: the caller's own deadline only. */
+  /** Maximum time a caller waits; if undefined, only the caller's own deadline applies. */
   timeoutMs?: number;
-  /** An answer within this time is as good as an instant one. */
+  /** Latency objective: a response within this time is as good as an immediate one. */
   latencyObjectiveMs?: number;
   /** 0 is the most urgent. */
   priority: number;
-  /** Its callers need no key. */
+  /** Whether callers may omit the API key. */
   isPublic: boolean;
-  /** Regions in which requests may be served; empty: anywhere. */
+  /** Regions in which requests may be served; empty means any region. */
   homeRegions: RegionName[];
 }
 
-/** What the daemon needs to know of one service. */
+/** Settings of one service. */
 export interface Service {
   name: ServiceName;
   /** Connections one target accepts from all callers together. */
   maxConnections: number;
-  /** How long a target stays cold after its start, in ms. */
+  /** How long a target is considered cold after its start, in milliseconds. */
   coldMs: number;
-  /** Requests per second a cold target tolerates from the whole fleet. */
+  /** Requests per second that a cold target tolerates from the whole fleet. */
   coldRequestsPerSecond: number;
 }
 
-/** What a caller may send, and how long it may take or stay idle. */
+/** Limits on the size of a caller's request and on how long it may take or stay idle. */
 export interface CallerLimits {
   headerBytes: number;
   bodyBytes: number;
@@ -60,15 +57,15 @@
   idleTimeoutMs: number;
 }
 
-/** One whole version of the operators' configuration. */
+/** One complete version of the operators' configuration. */
 export interface Configuration {
   version: ConfigurationVersion;
   routes: Route[];
   services: Service[];
-  /** Unset: callers need no keys at all. */
+  /** If undefined, callers need no API key. */
   customers?: Customer[];
   limits: CallerLimits;
 }
 
-/** True when a request of this kind may run more than once. */
+/** Returns true if a request of this kind may run more than once. */
 export const repeatable = (kind: RequestKind): boolean => kind !== 'non-idempotent';
--- a/packages/routing/src/routeTable.ts
+++ b/packages/routing/src/routeTable.ts
@@ -1,11 +1,11 @@
 /**
- * Finds the route of a request: same host, longest path prefix. Built once
- * per configuration version, so a lookup costs one map access and a scan of
+ * Finds the route of a request: same host, longest matching path prefix. The table is
+ * built once per configuration version, so a lookup costs one map access and a scan of
  * that host's few prefixes, longest first.
  */
 import type { Configuration, Route } from './configuration';
 
-/** Looks up the route of a host and path (with or without a query). */
+/** Looks up the route for a host and path (with or without a query string). */
 export type RouteTable = (host: string, path: string) => Route | undefined;
 
 const withoutPort = (host: string): string => {
@@ -13,7 +13,7 @@
   return colon > 0 && !host.endsWith(']') ? host.slice(0, colon) : host;
 };
 
-/** Builds the table of one configuration. */
+/** Builds the route table for one configuration. */
 export const routeTable = (configuration: Configuration): RouteTable => {
   const byHost = new Map<string, Route[]>();
   configuration.routes.forEach((route) => {
--- a/packages/routing/src/trafficSplit.ts
+++ b/packages/routing/src/trafficSplit.ts
@@ -1,13 +1,13 @@
 /**
- * Divides a route's requests among its destinations in proportion to their
- * weights. Smooth weighted round robin keeps each destination within one
- * request of its exact share at every moment; drawing at random would be off
- * by several percent in a window of a few hundred requests.
+ * Divides a route's requests among its destinations in proportion to their weights.
+ * Smooth weighted round robin keeps each destination within one request of its exact
+ * share at any time; random selection would be off by several percent over a window of
+ * a few hundred requests.
  */
 import type { RouteName, ServiceName } from '@cardamomladder/types';
 import type { Route } from './configuration';
 
-/** Names the destination of each next request of a route. */
+/** Selects the destination of each request of a route. */
 export interface TrafficSplit {
   next: (route: Route) => ServiceName;
 }
@@ -15,16 +15,19 @@
 /** Credit per destination of one route: how far it is behind its share. */
 type Credits = Map<ServiceName, number>;
 
-/** Starts a split with no history; `random` staggers instances against each other. */
+/**
+ * Creates a split without history. `random` sets the initial credits, so that
+ * instances start at different points of the cycle.
+ */
 export const trafficSplit = (random: () => number = Math.random): TrafficSplit => {
-  const byRoute = new Map<RouteName, Credits>();
+  const creditsByRoute = new Map<RouteName, Credits>();
   const creditsOf = (route: Route): Credits => {
-    const known = byRoute.get(route.name);
-    if (known) return known;
+    const existing = creditsByRoute.get(route.name);
+    if (existing) return existing;
     const total = route.destinations.reduce((sum, d) => sum + d.weight, 0);
-    const fresh = new Map(route.destinations.map((d) => [d.service, random() * total]));
-    byRoute.set(route.name, fresh);
-    return fresh;
+    const initial = new Map(route.destinations.map((d) => [d.service, random() * total]));
+    creditsByRoute.set(route.name, initial);
+    return initial;
   };
   return {
     next: (route) => {
@@ -34,11 +37,11 @@
       route.destinations.forEach((d) =>
         credits.set(d.service, (credits.get(d.service) ?? 0) + d.weight),
       );
-      const winner = route.destinations.reduce((best, d) =>
+      const selected = route.destinations.reduce((best, d) =>
         (credits.get(d.service) ?? 0) > (credits.get(best.service) ?? 0) ? d : best,
       );
-      credits.set(winner.service, (credits.get(winner.service) ?? 0) - total);
-      return winner.service;
+      credits.set(selected.service, (credits.get(selected.service) ?? 0) - total);
+      return selected.service;
     },
   };
 };
