--- a/packages/steering/src/index.ts
+++ b/packages/steering/src/index.ts
@@ -29,7 +29,7 @@
 export type { SeenTarget } from './placing/describe';
 export { describeTargets } from './placing/describe';
 export { place } from './placing/place';
-export { AnsweredLately } from './quarantine/answeredLately';
+export { AnsweredLately } from './quarantine/recentAnswers';
 export type { Suspect } from './quarantine/attribution';
 export { CRASHES_OF_A_CAUSE } from './quarantine/attribution';
 export { Quarantine } from './quarantine/quarantine';
--- a/packages/steering/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/steering/src/quarantine/__tests__/quarantine.test.ts
@@ -1,4 +1,4 @@
-/** What follows from the reports of several instances. */
+/** The quarantine that results from the reports of several instances. */
 import { describe, expect, it } from 'vitest';
 import type { CrashReport, StoreMoment } from '@cardamomladder/types';
 import {
@@ -8,7 +8,7 @@
   targetId,
   targetRun,
 } from '@cardamomladder/types';
-import { AnsweredLately } from '../answeredLately';
+import { AnsweredLately } from '../recentAnswers';
 import { Quarantine } from '../quarantine';
 
 const asked = (name: string, caller = 'c') => ({
@@ -23,10 +23,10 @@
 });
 
 describe('the quarantine', () => {
-  it('puts together what different instances saw, each crash once', () => {
+  it('combines the reports of several instances, counting each crash once', () => {
     const quarantine = new Quarantine(() => 0);
     quarantine.file('north', at(10), report([1, 2]));
-    // The same crash, as another instance saw it that had other requests there.
+    // The same crash, reported by another instance with other requests in flight.
     quarantine.file('south', at(11), report([2], [asked('other')]));
     quarantine.file('south-too', at(12), report([2]));
     expect(quarantine.holds(CRASHING)).toBe(false);
@@ -34,17 +34,17 @@
     quarantine.file('east', at(13), report([3]));
     expect(quarantine.holds(CRASHING)).toBe(true);
     expect(quarantine.holds(asked('other'))).toBe(false);
-    // No sign yet that it harms when another caller asks it.
+    // Nothing indicates yet that it does harm for another caller.
     expect(quarantine.holds(asked('crashing', 'd'))).toBe(false);
   });
 
-  it('takes an answered request for no cause of the crashes before, whatever is heard first', () => {
-    const files: [string, StoreMoment, CrashReport][] = [
+  it('does not blame earlier crashes on a request that was answered since, in any order of the reports', () => {
+    const reports: [string, StoreMoment, CrashReport][] = [
       ['north', at(10), report([1, 2])],
       ['south', at(11), { crashes: [], answered: [CRASHING] }],
       ['east', at(12), report([3])],
     ];
-    [files, [...files].reverse()].forEach((order) => {
+    [reports, [...reports].reverse()].forEach((order) => {
       const quarantine = new Quarantine(() => 0);
       order.forEach((each) => quarantine.file(...each));
       expect(quarantine.holds(CRASHING)).toBe(false);
@@ -52,15 +52,15 @@
     });
   });
 
-  // Guards against an answer of before the store's return counting as later than the crashes after it.
-  it('takes reports of a later epoch for later, whatever their revisions', () => {
+  // Guards against an answer from before the store was restored counting as later than crashes after it.
+  it('orders reports of a later epoch after earlier ones, whatever their revisions', () => {
     const quarantine = new Quarantine(() => 0);
     quarantine.file('south', at(50), { crashes: [], answered: [CRASHING] });
     quarantine.file('north', at(20, 1), report([1, 2, 3]));
     expect(quarantine.holds(CRASHING)).toBe(true);
   });
 
-  // Guards against the order in which lost reports happen to be filed again counting as that of the events.
+  // Guards against lost reports being ordered by when they were filed again instead of by their original position.
   it('keeps the order of reports that were filed again', () => {
     const quarantine = new Quarantine(() => 0);
     const again = { crashes: [], answered: [CRASHING], place: at(50) };
@@ -69,10 +69,10 @@
     expect(quarantine.holds(CRASHING)).toBe(false);
   });
 
-  it('leaves alone what many callers ask and targets answer all the while', () => {
-    // Symptom: the list that all kiosks show is refused for minutes. Sequence:
-    // three targets lose power at once, each was working on that list for some
-    // kiosk. Cause: only the crashes were counted, not the answers elsewhere.
+  it('does not block requests that many callers make and targets keep answering', () => {
+    // Guards against rejecting the list that all kiosks show for minutes: three
+    // targets lose power at once while each works on that list for some kiosk, and
+    // only the crashes are counted, not the answers of other targets.
     const quarantine = new Quarantine(() => 0);
     const popular = requestDigest('popular');
     ['c', 'd', 'e'].forEach((caller, i) =>
@@ -84,7 +84,7 @@
     expect(quarantine.holds(asked('popular', 'f'))).toBe(false);
   });
 
-  it('holds what crashes targets for one caller while it is answered to others', () => {
+  it('blocks a request that crashes targets for one caller while it is answered for others', () => {
     const quarantine = new Quarantine(() => 0);
     quarantine.file('north', at(10), {
       ...report([1, 2, 3]),
@@ -94,7 +94,7 @@
     expect(quarantine.holds(asked('crashing', 'd'))).toBe(false);
   });
 
-  it('forgets what a dropped report said, and is idle once all are dropped', () => {
+  it('forgets a removed report, and is empty once all are removed', () => {
     let now = 0;
     const quarantine = new Quarantine(() => now);
     quarantine.file('north', at(10), report([1, 2, 3]));
@@ -108,14 +108,14 @@
   });
 });
 
-describe('what was answered lately', () => {
-  it('is remembered for some seconds', () => {
+describe('recent answers', () => {
+  it('expire after ten seconds', () => {
     let now = 0;
-    const lately = new AnsweredLately(() => now);
-    lately.note(CRASHING.request);
+    const recentAnswers = new AnsweredLately(() => now);
+    recentAnswers.note(CRASHING.request);
     now = 10_000;
-    expect(lately.has(CRASHING.request)).toBe(true);
+    expect(recentAnswers.has(CRASHING.request)).toBe(true);
     now = 10_001;
-    expect(lately.has(CRASHING.request)).toBe(false);
+    expect(recentAnswers.has(CRASHING.request)).toBe(false);
   });
 });
--- a/packages/steering/src/quarantine/attribution.ts
+++ b/packages/steering/src/quarantine/attribution.ts
@@ -1,57 +1,60 @@
 /**
- * Which requests crash targets, told from those that were merely under way at
- * the crashes.
+ * Determines which requests crash targets, as opposed to those that were merely in
+ * flight at the crashes.
  *
- * A target works on a dozen requests when it crashes, and one of them is the
- * cause at most. Counting crashes alone also blames a lookup that its caller
- * repeats while targets crash every few hundred ms under another request. So
- * the suspect that was there at most crashes is taken to explain all of these,
- * and the others are judged by the crashes that are left.
+ * A target works on a dozen requests when it crashes, and at most one of them is the
+ * cause. Counting crashes alone would also blame a lookup that its caller repeats
+ * while targets crash every few hundred ms under another request. So the suspect in
+ * flight at most crashes is assumed to explain all of them, and the others are judged
+ * by the remaining crashes.
  *
- * Each request is suspected twice: as one caller asked it, and as anybody may.
- * A request that crashes targets may come from one caller after another, or
- * from one caller at changing addresses; and what crashes targets for one
- * caller may be harmless for the others.
+ * Each request is suspected twice: for one caller, and for any caller. A request that
+ * crashes targets may come from one caller after another, or from one caller with
+ * changing addresses; and a request that crashes targets for one caller may be
+ * harmless for the others.
  */
 import type { AskedRequest, Brand, RequestDigest } from '@cardamomladder/types';
 
 /**
- * Crashes from which a suspect may be their cause. Fewer would blame a request
- * that was repeated once and met two crashes of other causes; each one more
- * costs a target of a cause that has been seen often enough.
+ * Minimum number of crashes for a suspect to be considered their cause. Fewer would
+ * blame a request that was repeated once and met two unrelated crashes; each
+ * additional one costs a target although the cause has been seen often enough.
  */
 export const CRASHES_OF_A_CAUSE = 3;
-/** The same where several suspects were there at the same crashes: one crash more tells them apart. */
-const CRASHES_OF_ONE_OF_SEVERAL = CRASHES_OF_A_CAUSE + 1;
+/**
+ * The same if several suspects were in flight at the same crashes: one more crash
+ * tells them apart.
+ */
+const MIN_CRASHES_PER_TIED_CAUSE = CRASHES_OF_A_CAUSE + 1;
 
 /**
- * From so many crashes on a suspect is blamed though another one was there
- * too. Of two requests that crash targets, both may be under way at the same
- * ones; the crashes of one would explain those of the other, which would go on.
+ * Number of crashes from which a suspect is blamed even if another suspect was in
+ * flight too. Two requests that crash targets may be in flight at the same crashes;
+ * the crashes of one would then explain those of the other, which would continue.
  */
-const CRASHES_TOO_MANY = 5;
+const UNCONDITIONAL_CAUSE_CRASHES = 5;
 
 /** A request as a possible cause of crashes. */
 export type Suspect = Brand<string, 'Suspect'>;
 
-/** A request, whoever asks it. */
-export const askedByAnyone = (request: RequestDigest): Suspect => request as string as Suspect;
-/** A request as one caller asks it. */
-export const askedByOne = ({ request, caller }: AskedRequest): Suspect =>
+/** Returns the suspect for a request from any caller. */
+export const anyCallerSuspect = (request: RequestDigest): Suspect => request as string as Suspect;
+/** Returns the suspect for a request from one caller. */
+export const callerSuspect = ({ request, caller }: AskedRequest): Suspect =>
   `${request}/${caller}` as Suspect;
-/** The request of a suspect, whoever asks it. */
-const widened = (suspect: Suspect): Suspect => suspect.split('/')[0] as Suspect;
+/** Returns the any-caller suspect of a suspect's request. */
+const withoutCaller = (suspect: Suspect): Suspect => suspect.split('/')[0] as Suspect;
 
-/** A crash by the suspects that were under way. */
+/** A crash, as the set of suspects that were in flight. */
 export type SuspectedCrash = ReadonlySet<Suspect>;
 
-/** What the crashes say. */
+/** The result of attributing crashes. */
 export interface Attribution {
-  /** Suspects that were there at too many crashes, of which another suspect may explain some. */
+  /** Suspects with enough crashes to be a cause, some of which another suspect may explain. */
   suspected: ReadonlySet<Suspect>;
-  /** Suspects that crash targets, as nothing else explains their crashes. */
+  /** Suspects considered to crash targets, because nothing else explains their crashes. */
   causes: ReadonlySet<Suspect>;
-  /** All suspects, by the number of crashes at which they were under way. */
+  /** Number of crashes at which each suspect was in flight. */
   crashes: ReadonlyMap<Suspect, number>;
 }
 
@@ -63,29 +66,35 @@
   return counts;
 };
 
-/** Of a request that only one caller asked, that caller's alone: there is no sign that it harms when others ask it. */
-const narrowed = (
+/**
+ * For a request that only one caller made, keeps only that caller's suspect: nothing
+ * indicates that it does harm for other callers.
+ */
+const preferCallerSpecific = (
   suspects: readonly Suspect[],
   counts: ReadonlyMap<Suspect, number>,
 ): Suspect[] => {
-  const asOftenByOne = new Set(
+  const singleCallerRequests = new Set(
     suspects
-      .filter((suspect) => widened(suspect) !== suspect)
-      .filter((suspect) => counts.get(suspect) === counts.get(widened(suspect)))
-      .map(widened),
+      .filter((suspect) => withoutCaller(suspect) !== suspect)
+      .filter((suspect) => counts.get(suspect) === counts.get(withoutCaller(suspect)))
+      .map(withoutCaller),
   );
-  return suspects.filter((suspect) => !asOftenByOne.has(suspect));
+  return suspects.filter((suspect) => !singleCallerRequests.has(suspect));
 };
 
-/** The suspects with at least `least` crashes. */
-const withAtLeast = (least: number, counts: ReadonlyMap<Suspect, number>): Suspect[] =>
-  narrowed(
-    [...counts].filter(([, count]) => count >= least).map(([suspect]) => suspect),
+/** Returns the suspects with at least `minCount` crashes. */
+const suspectsWithAtLeast = (minCount: number, counts: ReadonlyMap<Suspect, number>): Suspect[] =>
+  preferCallerSpecific(
+    [...counts].filter(([, count]) => count >= minCount).map(([suspect]) => suspect),
     counts,
   );
 
-/** Of suspects that were there equally often, those that were there at some crash without any of the others: nothing else explains it. */
-const standingOut = (
+/**
+ * Of suspects that were in flight equally often, returns those with a crash at which
+ * none of the others was in flight: nothing else explains that crash.
+ */
+const withExclusiveCrash = (
   leaders: readonly Suspect[],
   crashes: readonly SuspectedCrash[],
 ): Suspect[] => {
@@ -95,32 +104,39 @@
   return [...new Set(alone.flat())];
 };
 
-/** The suspects to blame next: those that were there at most crashes. */
+/** Returns the suspects to blame next: those that were in flight at most crashes. */
 const nextCauses = (crashes: readonly SuspectedCrash[]): Suspect[] => {
   const counts = countOf(crashes);
-  const most = Math.max(0, ...counts.values());
-  if (most < CRASHES_OF_A_CAUSE) return [];
-  const leaders = withAtLeast(most, counts);
-  const clear = standingOut(leaders, crashes);
-  return clear.length > 0 || most < CRASHES_OF_ONE_OF_SEVERAL ? clear : leaders;
+  const maxCount = Math.max(0, ...counts.values());
+  if (maxCount < CRASHES_OF_A_CAUSE) return [];
+  const leaders = suspectsWithAtLeast(maxCount, counts);
+  const distinct = withExclusiveCrash(leaders, crashes);
+  return distinct.length > 0 || maxCount < MIN_CRASHES_PER_TIED_CAUSE ? distinct : leaders;
 };
 
-const without = (
+const excludeExplained = (
   crashes: readonly SuspectedCrash[],
   causes: readonly Suspect[],
 ): SuspectedCrash[] => crashes.filter((suspects) => !causes.some((cause) => suspects.has(cause)));
 
-/** Attributes crashes to requests; the order of the crashes does not matter, so all instances agree. */
+/**
+ * Attributes crashes to requests. The result does not depend on the order of the
+ * crashes, so all instances agree.
+ */
 export const attributeCrashes = (crashes: readonly SuspectedCrash[]): Attribution => {
   const counts = countOf(crashes);
-  const tooMany = withAtLeast(CRASHES_TOO_MANY, counts);
-  const causes = new Set(tooMany);
-  let unexplained = without(crashes, tooMany);
+  const unconditional = suspectsWithAtLeast(UNCONDITIONAL_CAUSE_CRASHES, counts);
+  const causes = new Set(unconditional);
+  let unexplained = excludeExplained(crashes, unconditional);
   let next = nextCauses(unexplained);
   while (next.length > 0) {
     next.forEach((suspect) => causes.add(suspect));
-    unexplained = without(unexplained, next);
+    unexplained = excludeExplained(unexplained, next);
     next = nextCauses(unexplained);
   }
-  return { suspected: new Set(withAtLeast(CRASHES_OF_A_CAUSE, counts)), causes, crashes: counts };
+  return {
+    suspected: new Set(suspectsWithAtLeast(CRASHES_OF_A_CAUSE, counts)),
+    causes,
+    crashes: counts,
+  };
 };
