--- a/packages/steering/src/placing/__tests__/queueLimit.test.ts
+++ b/packages/steering/src/placing/__tests__/queueLimit.test.ts
@@ -1,9 +1,9 @@
 /** How long a target's queue may be. */
 import { describe, expect, it } from 'vitest';
-import { queuePerSlot } from '../queueLimit';
+import { maxRequestsPerSlot } from '../queueLimit';
 
 describe('the queue limit', () => {
-  it('lets as many requests in as are answered within the objective, within bounds', () => {
+  it('admits as many requests as can be answered within the objective, within bounds', () => {
     const limits = [
       [600, 345],
       [600, 200],
@@ -11,7 +11,7 @@
       [undefined, 345],
       [600, undefined],
       [600, 0],
-    ].map(([objectiveMs, usualMs]) => Number(queuePerSlot(objectiveMs, usualMs).toFixed(2)));
+    ].map(([objectiveMs, usualMs]) => Number(maxRequestsPerSlot(objectiveMs, usualMs).toFixed(2)));
     expect(limits).toEqual([1.74, 2.2, 1.4, 1.8, 1.8, 1.8]);
   });
 });
--- a/packages/steering/src/placing/__tests__/shares.test.ts
+++ b/packages/steering/src/placing/__tests__/shares.test.ts
@@ -1,19 +1,19 @@
 /**
- * Shares of fleet-wide bounds: whatever each instance sees of its own traffic,
- * the sum over all keeps the bound.
+ * Shares of fleet-wide bounds: the sum over all instances stays within the bound,
+ * whatever each instance sees of its own traffic.
  */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { Load, REPORT_FRESH_MS } from '../busyEstimate';
-import { REPORT_STALE_MS } from '../reportFade';
-import { coldShare } from '../coldAllowance';
+import { LoadEstimate, REPORT_FRESH_MS } from '../loadEstimate';
+import { MIN_REPORT_STALE_MS } from '../reportStaleness';
+import { coldShare } from '../coldShare';
 import { RepeatBudget } from '../repeatBudget';
-import { RollingCount } from '../rollingCount';
+import { RollingCount } from '../slidingWindowCounter';
 
 const names = (n: number) => Array.from({ length: n }, (_, i) => `instance-${i}`);
 
 describe('cold shares', () => {
-  it('sum to no more than the tolerated rate, and to some of it at any fleet size', () => {
+  it('sum to at most the tolerated rate, and to more than zero at any fleet size', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 120 }), fc.integer({ min: 2, max: 60 }), (n, rate) => {
         const fleet = names(n);
@@ -28,7 +28,7 @@
 });
 
 describe('repeat budgets', () => {
-  it('keep the fleet within ratio and extra in every window', () => {
+  it('keep the fleet within the ratio and the extra repeats in every window', () => {
     fc.assert(
       fc.property(
         fc.array(fc.tuple(fc.integer({ min: 0, max: 8 }), fc.boolean()), { maxLength: 400 }),
@@ -37,11 +37,11 @@
           const budgets = names(9).map(() => new RepeatBudget(bound));
           let requests = 0;
           let repeats = 0;
-          events.forEach(([at, wants], i) => {
+          events.forEach(([at, wantsRepeat], i) => {
             const now = i * 20;
             budgets[at].earn(now);
             requests += 1;
-            if (wants && budgets[at].spend(now, 9)) repeats += 1;
+            if (wantsRepeat && budgets[at].spend(now, 9)) repeats += 1;
           });
           expect(repeats).toBeLessThanOrEqual(bound.ratio * requests + bound.extra);
         },
@@ -50,35 +50,40 @@
   });
 });
 
-describe('a rolling count', () => {
-  it('never counts less than what happened in the window', () => {
+describe('a sliding window counter', () => {
+  it('never counts fewer events than happened in the window', () => {
     fc.assert(
       fc.property(fc.array(fc.integer({ min: 0, max: 400 }), { maxLength: 60 }), (gaps) => {
-        const count = new RollingCount(1000);
+        const counter = new RollingCount(1000);
         const times: number[] = [];
         let now = 0;
         gaps.forEach((gap) => {
           now += gap;
           times.push(now);
-          count.add(now);
-          const real = times.filter((t) => t > now - 1000).length;
-          expect(count.total(now)).toBeGreaterThanOrEqual(real);
+          counter.add(now);
+          const actual = times.filter((t) => t > now - 1000).length;
+          expect(counter.total(now)).toBeGreaterThanOrEqual(actual);
         });
       }),
     );
   });
 });
 
-describe('the busy estimate', () => {
-  it('adds own requests to the last report of the others, which fades', () => {
-    // Symptom: a target gets nothing long after it has room. Sequence: its
-    // last report said "full", nothing is sent, so no report comes. Cause:
-    // an old report was believed for good.
-    const load = new Load();
+describe('the load estimate', () => {
+  it('adds own requests to those of other instances in the last report, which decay', () => {
+    // Guards against a target that stays unused long after it has capacity: its
+    // last report said it was full, so nothing is sent to it, and no newer report
+    // arrives.
+    const load = new LoadEstimate();
     load.own = 2;
     load.takeReport(6, 1, 0);
     load.own = 4;
-    const at = [0, REPORT_FRESH_MS, (REPORT_FRESH_MS + REPORT_STALE_MS) / 2, REPORT_STALE_MS];
+    const at = [
+      0,
+      REPORT_FRESH_MS,
+      (REPORT_FRESH_MS + MIN_REPORT_STALE_MS) / 2,
+      MIN_REPORT_STALE_MS,
+    ];
     expect(at.map((now) => load.busyAt(now))).toEqual([9, 9, 6.5, 4]);
   });
 });
--- a/packages/steering/src/placing/describe.ts
+++ b/packages/steering/src/placing/describeTargets.ts
@@ -1,55 +1,62 @@
-/** What placing saw of an object's first targets, for the log line of a rejection. */
+/**
+ * Describes the first targets of an object as placement saw them, for the log entry of
+ * a rejection.
+ */
 import type { ObjectKey } from '@cardamomladder/types';
 import type { Locality } from './homeShares';
 import type { ServicePool } from './pool';
-import { heldBackMs } from './pool';
+import { pauseMs } from './pool';
 import type { Rankings } from './rankings';
 import type { PlacedTarget } from './target';
 
-/** Targets described: those that could have taken the request and the next one. */
-const DESCRIBED = 3;
+/** Number of targets described: those that could have taken the request and the next one. */
+const MAX_DESCRIBED = 3;
 
-/** One target as placing saw it; ages in ms. */
-export interface SeenTarget {
+/** One target as placement saw it. Ages are in milliseconds. */
+export interface TargetSnapshot {
   id: string;
-  /** Requests there by the last report and own sends, as far as believed. */
+  /** Estimated requests at the target, from its last report and own sends. */
   busy: number;
   slots: number;
-  /** Its usual answer time for objects that it remembers. */
+  /** Its typical response time for objects that it has cached, in milliseconds. */
   usualMs?: number;
   reportAgeMs?: number;
-  /** Why it was out of the question, if it was. */
+  /** Why the target was excluded, if it was. */
   out?: 'leaving' | 'evacuated' | 'avoided' | 'held-back' | 'cold';
-  /** Requests per second that it takes from all instances together, where it names a limit. */
+  /** Requests per second that it accepts from all instances together, if it advertises a limit. */
   limitPerSecond?: number;
 }
 
-const reasonOut = (target: PlacedTarget, pool: ServicePool, now: number): SeenTarget['out'] => {
+const exclusionReason = (
+  target: PlacedTarget,
+  pool: ServicePool,
+  now: number,
+): TargetSnapshot['out'] => {
   if (target.leaving || target.selfReport.leaving) return 'leaving';
   if (pool.evacuated(target.failureDomain)) return 'evacuated';
   if (target.avoidUntil > now) return 'avoided';
-  if (heldBackMs(target, pool, now) > 0) return 'held-back';
+  if (pauseMs(target, pool, now) > 0) return 'held-back';
   return target.coldUntil > now ? 'cold' : undefined;
 };
 
-/** The object's first targets as they are seen at `now`. */
+/** Returns the first targets of an object as seen at `now`. */
 export const describeTargets = (
   key: ObjectKey,
   locality: Locality,
   pool: ServicePool,
   rankings: Rankings,
   now: number,
-): SeenTarget[] =>
+): TargetSnapshot[] =>
   rankings
     .of(key, locality, pool)
-    .slice(0, DESCRIBED)
+    .slice(0, MAX_DESCRIBED)
     .map((target) => ({
       id: target.id,
       busy: Math.round(target.load.busyAt(now) * 10) / 10,
       slots: target.slots,
-      usualMs: target.answerMs === undefined ? undefined : Math.round(target.answerMs),
+      usualMs: target.responseMs === undefined ? undefined : Math.round(target.responseMs),
       reportAgeMs:
         target.load.reportedAt === undefined ? undefined : Math.round(now - target.load.reportedAt),
-      out: reasonOut(target, pool, now),
+      out: exclusionReason(target, pool, now),
       limitPerSecond: target.selfReport.limit.perSecond,
     }));
--- a/packages/steering/src/placing/fleetRank.ts
+++ b/packages/steering/src/placing/fleetRank.ts
@@ -1,9 +1,12 @@
-/** An order of instances that all of them compute alike, another one for each key. */
+/**
+ * Ranks instances by a hash of the key and their id. All instances compute the same
+ * order, which differs per key.
+ */
 import murmurhash from 'murmurhash';
 
-/** How many of the instances stand before `self` in the order of `key`. */
+/** Returns how many of the instances rank before `self` for `key`. */
 export const fleetRank = (key: string, self: string, instances: readonly string[]): number => {
-  const place = (id: string) => murmurhash.v3(`${key}|${id}`);
-  const mine = place(self);
-  return instances.filter((id) => id !== self && place(id) < mine).length;
+  const score = (id: string) => murmurhash.v3(`${key}|${id}`);
+  const ownScore = score(self);
+  return instances.filter((id) => id !== self && score(id) < ownScore).length;
 };
--- a/packages/steering/src/placing/homeShares.ts
+++ b/packages/steering/src/placing/homeShares.ts
@@ -1,51 +1,65 @@
 /**
- * Which part of an instance's objects each region, or each failure domain of
- * its own region, takes.
+ * Computes which share of the objects of a location (a region, or a failure domain of
+ * the local region) each location takes.
  *
- * Objects belong to regions: callers of one region ask for objects that no
- * other region's callers know. An object at home saves the way there and
- * back, and a connection that crosses regions. So a place keeps what its
- * slots can carry, and hands the rest to the places that have slots to spare,
- * in proportion to them; all instances work this out alike from the registry.
+ * Objects belong to regions: callers of one region request objects that callers of
+ * other regions do not. Serving an object in its home region saves a round trip and a
+ * connection between regions. So a location keeps as much as its slots can carry and
+ * distributes the rest to locations in proportion to their spare slots. All instances
+ * compute the same shares from the registry.
  */
 
-/** How strongly requests are kept in their region: as far as the load stays even, or, for large answers, at some cost of that. */
+/**
+ * How strongly requests are kept in their region: as long as the load stays even
+ * (`balanced`), or, for large responses, at some cost in balance (`near`).
+ */
 export type Locality = 'balanced' | 'near';
 
-/** How far above the fleet's mean fill a place may go to keep what is its own; large answers are a small part of the load. */
-const FILL_MOST: Record<Locality, number> = { balanced: 1, near: 2 };
-/** Every place ranks with at least this part, so that an object has further choices when its own place has none. */
-const LEAST_PART = 1e-6;
+/**
+ * Utilization up to which a location keeps its own objects, as a multiple of the
+ * fleet's mean. `near` may exceed the mean because large responses are a small part of
+ * the load.
+ */
+const MAX_FILL: Record<Locality, number> = { balanced: 1, near: 2 };
+/**
+ * Minimum share of every location, so that an object has further choices when its home
+ * location has none.
+ */
+const MIN_SHARE = 1e-6;
 
-/** Each place's part of a sum of 1. */
-const partsOf = <Place>(amounts: ReadonlyMap<Place, number>): Map<Place, number> => {
+/** Scales amounts to fractions that sum to 1. */
+const normalized = <Location>(amounts: ReadonlyMap<Location, number>): Map<Location, number> => {
   const total = [...amounts.values()].reduce((sum, n) => sum + n, 0);
-  return new Map([...amounts].map(([place, n]) => [place, total > 0 ? n / total : 0]));
+  return new Map([...amounts].map(([location, n]) => [location, total > 0 ? n / total : 0]));
 };
 
 /**
- * The part of the objects of `home` that each place takes. `capacity` is each
- * place's slots, `demand` each place's part of the requests.
+ * Returns the share of the objects of `home` that each location takes. `capacity` is
+ * each location's number of slots, `demand` its share of the requests.
  */
-export const homeShares = <Place>(
+export const homeShares = <Location>(
   locality: Locality,
-  home: Place,
-  capacity: ReadonlyMap<Place, number>,
-  demand: ReadonlyMap<Place, number>,
-): Map<Place, number> => {
-  const room = partsOf(capacity);
-  const asked = partsOf(demand);
-  const askedAt = (place: Place) => asked.get(place) ?? 0;
-  const own = askedAt(home);
-  const kept = own > 0 ? Math.min(1, ((room.get(home) ?? 0) * FILL_MOST[locality]) / own) : 1;
-  const others = [...room].filter(([place]) => place !== home);
-  const spareOf = ([place, part]: [Place, number]) => Math.max(0, part - askedAt(place));
-  const spare = others.reduce((sum, other) => sum + spareOf(other), 0);
-  const otherRoom = others.reduce((sum, [, part]) => sum + part, 0);
-  const shares = new Map<Place, number>([[home, Math.max(LEAST_PART, kept)]]);
+  home: Location,
+  capacity: ReadonlyMap<Location, number>,
+  demand: ReadonlyMap<Location, number>,
+): Map<Location, number> => {
+  const capacityShares = normalized(capacity);
+  const demandShares = normalized(demand);
+  const demandShareOf = (location: Location) => demandShares.get(location) ?? 0;
+  const homeDemand = demandShareOf(home);
+  const keptShare =
+    homeDemand > 0
+      ? Math.min(1, ((capacityShares.get(home) ?? 0) * MAX_FILL[locality]) / homeDemand)
+      : 1;
+  const others = [...capacityShares].filter(([location]) => location !== home);
+  const spareOf = ([location, fraction]: [Location, number]) =>
+    Math.max(0, fraction - demandShareOf(location));
+  const totalSpare = others.reduce((sum, other) => sum + spareOf(other), 0);
+  const otherCapacity = others.reduce((sum, [, fraction]) => sum + fraction, 0);
+  const shares = new Map<Location, number>([[home, Math.max(MIN_SHARE, keptShare)]]);
   others.forEach((other) => {
-    const part = spare > 0 ? spareOf(other) / spare : other[1] / (otherRoom || 1);
-    shares.set(other[0], Math.max(LEAST_PART, (1 - kept) * part));
+    const share = totalSpare > 0 ? spareOf(other) / totalSpare : other[1] / (otherCapacity || 1);
+    shares.set(other[0], Math.max(MIN_SHARE, (1 - keptShare) * share));
   });
   return shares;
 };
--- a/packages/steering/src/placing/limitShare.ts
+++ b/packages/steering/src/placing/limitShare.ts
@@ -1,65 +1,81 @@
 /**
- * One instance's share of a limit that a target names for all instances together.
+ * Computes one instance's share of a limit that a target advertises for all instances
+ * together.
  *
- * The load this answers: a target in need that takes a few requests a second,
- * fewer than there are instances. No instance sees what the others send, and
- * they may be cut apart, so each keeps a pace of its own, and the paces sum to
- * the limit. An instance that has been idle may send one request at once; where
- * the fleet is so large that these alone could exceed what is tolerated, only
- * some instances share the limit, others for each target, and the rest send a
- * request now and then, from which they learn that the limit has been lifted.
+ * An overloaded target may accept fewer requests per second than there are instances.
+ * No instance sees what the others send, and network partitions may separate them, so
+ * each paces its own requests, and the rates sum to the limit. An idle instance may
+ * send one request at once. If the fleet is so large that these requests alone could
+ * exceed the tolerance, only some instances share the limit, different ones for each
+ * target. The rest send an occasional request, from which they learn that the limit
+ * has been lifted.
  */
 import type { InstanceId } from '@cardamomladder/types';
 import { fleetRank } from './fleetRank';
 
-/** What operators tolerate beyond a limit: in a window, so many times the limit, and some requests besides. */
+/**
+ * What operators tolerate beyond a limit: a multiple of the limit within a window,
+ * plus a fixed number of requests.
+ */
 const TOLERATED = { windowSeconds: 4, factor: 1.5, slack: 5 };
-/** Part of what is tolerated that idle instances may use at once; the rest covers instances that see the fleet differently. */
-const IDLE_PART = 0.8;
-/** Part of a limit that instances without a share may use together. */
-const LISTENING_PART = 0.2;
-/** A limit of zero is taken for this many requests a second, or nobody would hear that it has been lifted. */
-const LEAST_PER_SECOND = 0.1;
+/**
+ * Fraction of the tolerance that idle instances may use at once; the rest covers
+ * instances that see the fleet differently.
+ */
+const IDLE_BURST_FRACTION = 0.8;
+/**
+ * Fraction of a limit that instances without a share may use together to detect that
+ * it was lifted.
+ */
+const PROBE_FRACTION = 0.2;
+/**
+ * Rate assumed for a limit of zero, in requests per second; otherwise no instance
+ * would learn that the limit was lifted.
+ */
+const MIN_PER_SECOND = 0.1;
 const MS_PER_SECOND = 1000;
 
-/** The instances among whom something is divided. */
+/** The instances that a limit is divided among. */
 export interface Sharers {
   ids: readonly InstanceId[];
-  /** How many to divide by; at least as many as are named. */
+  /** Number of instances to divide by; at least the number of ids. */
   size: number;
 }
 
-/** The pace of one instance. */
+/** The pacing of one instance. */
 export interface LimitShare {
-  /** From one request to the next, ms. */
+  /** Interval between requests, in milliseconds. */
   intervalMs: number;
-  /** From 0 to 1: which part of the interval the first request waits, so that the paces of instances differ. */
+  /**
+   * Fraction of the interval, from 0 to 1, that the first request is delayed by, to
+   * stagger the instances.
+   */
   phase: number;
 }
 
-/** How many of `size` instances may share a limit. */
-export const sharersOf = (perSecond: number, size: number): number => {
+/** Returns how many of `size` instances may share a limit. */
+export const sharerCount = (perSecond: number, size: number): number => {
   const { windowSeconds, factor, slack } = TOLERATED;
-  const beyond = perSecond * windowSeconds * (factor - 1) + slack;
-  return Math.max(1, Math.min(size, Math.floor(beyond * IDLE_PART)));
+  const excess = perSecond * windowSeconds * (factor - 1) + slack;
+  return Math.max(1, Math.min(size, Math.floor(excess * IDLE_BURST_FRACTION)));
 };
 
-/** The share of `self` in the limit that target `id` names. */
+/** Returns the share of `self` in the limit that target `id` advertises. */
 export const limitShare = (
   id: string,
   self: InstanceId,
   { ids, size }: Sharers,
   perSecond: number,
 ): LimitShare => {
-  const limit = Math.max(perSecond, LEAST_PER_SECOND);
-  const sharing = sharersOf(perSecond, size);
+  const limit = Math.max(perSecond, MIN_PER_SECOND);
+  const sharers = sharerCount(perSecond, size);
   const rank = fleetRank(id, self, ids);
-  const shares = ids.includes(self) && rank < sharing;
-  const others = shares ? sharing : Math.max(1, size - sharing);
-  const part = shares ? 1 : LISTENING_PART;
-  const rankAmongOthers = shares ? rank : Math.max(0, rank - sharing);
+  const hasShare = ids.includes(self) && rank < sharers;
+  const groupSize = hasShare ? sharers : Math.max(1, size - sharers);
+  const fraction = hasShare ? 1 : PROBE_FRACTION;
+  const rankInGroup = hasShare ? rank : Math.max(0, rank - sharers);
   return {
-    intervalMs: (others / (limit * part)) * MS_PER_SECOND,
-    phase: Math.min(1, (rankAmongOthers + 1) / others),
+    intervalMs: (groupSize / (limit * fraction)) * MS_PER_SECOND,
+    phase: Math.min(1, (rankInGroup + 1) / groupSize),
   };
 };
--- a/packages/steering/src/placing/place.ts
+++ b/packages/steering/src/placing/place.ts
@@ -1,44 +1,60 @@
 /**
- * Chooses the target of one request, or says at once that none can take it.
+ * Selects the target for one request, or rejects the request at once if no target can
+ * take it.
  *
- * The load this answers: services whose targets work several times faster on
- * objects they have handled lately, at a demand that is above the capacity
- * with cold memories and below it with warm ones. Spilling to any target
- * with room makes every target forget what it knew; service times grow
- * three-fold and the overload feeds itself until queues are emptied by a
- * restart. Keeping each object on its first target, or at most on one that
- * helps it out, keeps memories warm, and refusing the rest keeps queues short.
+ * Targets of some services work several times faster on recently handled objects, so
+ * demand may exceed capacity with cold caches and stay below it with warm ones.
+ * Spilling over to any target with capacity evicts every target's cached objects:
+ * service times grow three-fold, and the overload sustains itself until a restart
+ * empties the queues. Keeping each object on its first target, or at most on one
+ * spillover target, keeps caches warm, and rejecting the rest keeps queues short.
  */
-import type { WarmTargets } from './choices';
-import { coldChoices, soonestMs, warmChoices } from './choices';
+import type { WarmCandidates } from './candidates';
+import { coldCandidates, shortestPauseMs, warmCandidates } from './candidates';
 import type { Placement, ServicePool } from './pool';
-import { queuePerSlot } from './queueLimit';
+import { maxRequestsPerSlot } from './queueLimit';
 import type { Rankings } from './rankings';
 import type { PlacedTarget } from './target';
-import { hasRoom } from './target';
+import { hasCapacity } from './target';
 
 /**
- * Requests per slot up to which a target helps out an object's first one. It
- * does so where it has slots to spare: when all are full it must not, or each
- * forgets its own objects for another's and the overload stays after its
- * cause has gone.
+ * Maximum requests per slot at a target that takes over a request from an object's
+ * first target. It only does so with slots to spare: when all targets are full, taking
+ * over would evict its own objects for another target's, and the overload would
+ * outlast its cause.
  */
-export const HELP_PER_SLOT = 1;
-/** The same where the object is new to the helper, which then works several times as long. */
-export const HELP_NEW_PER_SLOT = 0.6;
-/** Requests per slot for one that is late already: it takes a slot that is free, and no place in a queue from one that is not late. */
-const LATE_PER_SLOT = 1;
-/** So many more requests per slot for an urgent one: when a target is full for others, there is still a place for it. */
-const URGENT_PER_SLOT = 0.3;
-/** A rejected caller is told to come back after this, ms, when targets exist: about one service time. */
+export const MAX_SPILLOVER_PER_SLOT = 1;
+/**
+ * The same for a target that does not have the object cached and therefore works
+ * several times as long.
+ */
+export const MAX_UNCACHED_PER_SLOT = 0.6;
+/**
+ * Maximum requests per slot for a request that has already missed its objective: it
+ * may take a free slot, but no place in the queue from a request that can still meet
+ * its objective.
+ */
+const MAX_LATE_PER_SLOT = 1;
+/**
+ * Additional requests per slot for an urgent request, so that a target which is full
+ * for other requests still accepts it.
+ */
+const URGENT_EXTRA_PER_SLOT = 0.3;
+/** `retryAfterMs` of a rejection when targets exist, in milliseconds: about one service time. */
 export const FULL_RETRY_AFTER_MS = 250;
-/** The same when no target exists at all: the registry needs about this long to change. */
+/**
+ * `retryAfterMs` when the service has no target, in milliseconds: the registry needs
+ * about this long to change.
+ */
 export const NO_TARGET_RETRY_AFTER_MS = 500;
 
-/** Nobody is told to come back sooner than this, ms: about the way there and back between regions. */
-const LEAST_RETRY_AFTER_MS = 50;
+/**
+ * Minimum `retryAfterMs` when targets ask for a pause, in milliseconds: about one
+ * round trip between regions.
+ */
+const MIN_RETRY_AFTER_MS = 50;
 
-/** Why no target was chosen. */
+/** Why no target was selected. */
 export type RejectionReason = 'no-target' | 'full' | 'cold' | 'held-back';
 
 /** The outcome of placing one request. */
@@ -46,57 +62,68 @@
   | { kind: 'placed'; target: PlacedTarget }
   | { kind: 'rejected'; reason: RejectionReason; retryAfterMs: number };
 
-const coldRoom = (target: PlacedTarget, pool: ServicePool, now: number): boolean =>
+const withinColdShare = (target: PlacedTarget, pool: ServicePool, now: number): boolean =>
   target.coldSends.total(now) < pool.coldShare(target);
 
-/** True when a target may help an object's first one out. */
-const canHelp = (helper: PlacedTarget, { key, now }: Placement): boolean =>
-  hasRoom(helper, helper.objects.has(key) ? HELP_PER_SLOT : HELP_NEW_PER_SLOT, now);
+/** Returns true if a target may take over a request from an object's first target. */
+const canTakeSpillover = (target: PlacedTarget, { key, now }: Placement): boolean =>
+  hasCapacity(
+    target,
+    target.objects.has(key) ? MAX_SPILLOVER_PER_SLOT : MAX_UNCACHED_PER_SLOT,
+    now,
+  );
 
-/** The warm target for a request, if one has room. */
-const warmChoice = (
-  { first, second, abroad }: WarmTargets,
+/** Returns the warm target for a request, if one has capacity. */
+const chooseWarm = (
+  { first, second, remote }: WarmCandidates,
   request: Placement,
   { helpAbroad }: ServicePool,
 ): PlacedTarget | undefined => {
   if (!first) return undefined;
   const { key, now, objectiveMs, lateAlready, urgent } = request;
-  const queued = queuePerSlot(objectiveMs, first.answerMs) + (urgent ? URGENT_PER_SLOT : 0);
-  const perSlot = lateAlready ? LATE_PER_SLOT : queued;
-  const hasFirst = hasRoom(first, perSlot, now);
-  const helper = abroad && canHelp(abroad, request) ? abroad : undefined;
-  const helps = helpAbroad.take(now, !hasFirst && helper !== undefined);
-  // Without need, only a target that knows the object keeps up what it took over.
-  if (helper && helps && (!hasFirst || helper.objects.has(key))) return helper;
-  if (hasFirst) return first;
-  return second && canHelp(second, request) ? second : undefined;
+  const queueLimit =
+    maxRequestsPerSlot(objectiveMs, first.responseMs) + (urgent ? URGENT_EXTRA_PER_SLOT : 0);
+  const perSlot = lateAlready ? MAX_LATE_PER_SLOT : queueLimit;
+  const firstHasCapacity = hasCapacity(first, perSlot, now);
+  const spilloverTarget = remote && canTakeSpillover(remote, request) ? remote : undefined;
+  const spills = helpAbroad.admit(now, !firstHasCapacity && spilloverTarget !== undefined);
+  // If the first target has capacity, only a remote target with the object cached keeps serving it.
+  if (spilloverTarget && spills && (!firstHasCapacity || spilloverTarget.objects.has(key)))
+    return spilloverTarget;
+  if (firstHasCapacity) return first;
+  return second && canTakeSpillover(second, request) ? second : undefined;
 };
 
-/** No target may take the request now; where some only ask for a pause, its caller comes back after the shortest. */
+/**
+ * Rejects a request that no target may take. If targets ask for a pause, the caller is
+ * told to retry after the shortest one.
+ */
 const rejectWithoutTarget = (request: Placement, pool: ServicePool): PlacementOutcome => {
-  const heldBack = soonestMs(request, pool);
-  return heldBack === undefined
+  const pauseMs = shortestPauseMs(request, pool);
+  return pauseMs === undefined
     ? { kind: 'rejected', reason: 'no-target', retryAfterMs: NO_TARGET_RETRY_AFTER_MS }
     : {
         kind: 'rejected',
         reason: 'held-back',
-        retryAfterMs: Math.max(heldBack, LEAST_RETRY_AFTER_MS),
+        retryAfterMs: Math.max(pauseMs, MIN_RETRY_AFTER_MS),
       };
 };
 
-/** Chooses the target for one request of the pool's service. */
+/** Selects the target for one request of the pool's service. */
 export const place = (
   request: Placement,
   pool: ServicePool,
   rankings: Rankings,
 ): PlacementOutcome => {
   const { now } = request;
-  const warm = warmChoices(request, pool, rankings);
-  const chosen = warmChoice(warm, request, pool);
+  const warm = warmCandidates(request, pool, rankings);
+  const chosen = chooseWarm(warm, request, pool);
   if (chosen) return { kind: 'placed', target: chosen };
-  const cold = coldChoices(request, pool, rankings);
-  const coldOne = cold.find((t) => hasRoom(t, HELP_NEW_PER_SLOT, now) && coldRoom(t, pool, now));
-  if (coldOne) return { kind: 'placed', target: coldOne };
+  const cold = coldCandidates(request, pool, rankings);
+  const coldTarget = cold.find(
+    (t) => hasCapacity(t, MAX_UNCACHED_PER_SLOT, now) && withinColdShare(t, pool, now),
+  );
+  if (coldTarget) return { kind: 'placed', target: coldTarget };
   if (!warm.first && cold.length === 0) return rejectWithoutTarget(request, pool);
   return {
     kind: 'rejected',
--- a/packages/steering/src/placing/pool.ts
+++ b/packages/steering/src/placing/pool.ts
@@ -1,54 +1,66 @@
-/** What placing goes by: one request, and what is known of its service. */
+/** The input of placement: one request, and the state of its service. */
 import type { FailureDomainName, ObjectKey, RegionName, TargetId } from '@cardamomladder/types';
-import type { HelpAbroad } from './helpAbroad';
+import type { HelpAbroad } from './crossRegionSpillover';
 import type { Locality } from './homeShares';
 import type { LimitShare } from './limitShare';
 import type { PlacedTarget } from './target';
 
-/** What one request asks of placing. */
+/** One request to be placed. */
 export interface Placement {
   /** Requests with the same key go to the same targets. */
   key: ObjectKey;
   locality: Locality;
-  /** Regions in which the request may run; empty: anywhere. */
+  /** Regions in which the request may run; empty means any region. */
   homeRegions: readonly RegionName[];
-  /** An answer within this time is as good as an instant one, ms. */
+  /**
+   * Latency objective in milliseconds: a response within this time is as good as an
+   * immediate one.
+   */
   objectiveMs?: number;
-  /** The caller has already waited for longer than that, in attempts before. */
+  /** Earlier attempts have already taken longer than the objective. */
   lateAlready?: boolean;
-  /** More urgent than most of the service's requests of late. */
+  /** The request is more urgent than most recent requests of the service. */
   urgent?: boolean;
-  /** Targets that already had this request. */
+  /** Targets that this request has already been sent to. */
   tried: ReadonlySet<TargetId>;
   now: number;
 }
 
-/** What placing knows of one service: its targets and the conditions that bind them. */
+/** The state of one service: its targets and the conditions that apply to them. */
 export interface ServicePool {
   targets: readonly PlacedTarget[];
-  /** Changes whenever a target is added or removed, starts to leave, or an evacuation begins or ends. */
+  /**
+   * Changes whenever a target is added, removed or starts to leave, or an evacuation
+   * begins or ends.
+   */
   generation: number;
   ownRegion: RegionName;
   ownDomain: FailureDomainName;
-  /** Each region's part of all requests. */
+  /** Each region's share of all requests. */
   demand: ReadonlyMap<RegionName, number>;
-  /** Each failure domain's part of the own region's requests. */
+  /** Each failure domain's share of the local region's requests. */
   domainDemand: ReadonlyMap<FailureDomainName, number>;
-  /** What goes to other regions to help out full targets. */
+  /** Limits the requests that spill over from full targets to other regions. */
   helpAbroad: HelpAbroad;
   evacuated: (failureDomain: FailureDomainName) => boolean;
   /** Requests per second this instance may send to the target while it is cold. */
   coldShare: (target: PlacedTarget) => number;
-  /** This instance's share of a limit of so many requests per second that the target names. */
+  /**
+   * This instance's share of a limit of `perSecond` requests per second that the
+   * target advertises.
+   */
   limitShare: (target: PlacedTarget, perSecond: number) => LimitShare;
 }
 
-/** True while a target may get work at all. */
+/** Returns true if a target may get any work. */
 export const usable = (target: PlacedTarget, pool: ServicePool): boolean =>
   !target.leaving && !target.selfReport.leaving && !pool.evacuated(target.failureDomain);
 
-/** How long what the target said of itself keeps requests from it, ms; 0 when one may go at once. */
-export const heldBackMs = (target: PlacedTarget, pool: ServicePool, now: number): number => {
+/**
+ * Returns how long a pause or limit that the target asked for delays a request, in
+ * milliseconds; 0 if it may be sent now.
+ */
+export const pauseMs = (target: PlacedTarget, pool: ServicePool, now: number): number => {
   const { limit, restUntil } = target.selfReport;
   const restMs = Math.max(0, restUntil - now);
   if (limit.perSecond === undefined) return restMs;
--- a/packages/steering/src/placing/queueLimit.ts
+++ b/packages/steering/src/placing/queueLimit.ts
@@ -1,27 +1,34 @@
 /**
- * How many requests a target may have, running or waiting.
+ * Limits how many requests a target may have, running or waiting.
  *
- * The load this answers: peaks in which some targets are full for moments.
- * A request that is refused comes back a quarter of a second later, or not at
- * all; one that waits in a short queue is still answered in time. But one that
- * waits longer than its objective allows is late, and so is each one behind it.
+ * At peaks some targets are full for short moments. A rejected request comes back a
+ * quarter of a second later or not at all, while one that waits in a short queue is
+ * still answered in time. A request that waits longer than its objective allows is
+ * late, and so is each one behind it.
  */
 
-/** Requests per slot while nothing is known of how long answers take: a queue that hides the way there and back. */
-export const PER_SLOT_UNKNOWN = 1.8;
-/** Least requests per slot: a target's slots must be in use while answers travel. */
-const PER_SLOT_LEAST = 1.4;
-/** Most requests per slot, however short the answers: reports of others' requests are as old as the last answer, so a longer queue overshoots. */
-const PER_SLOT_MOST = 2.2;
+/**
+ * Requests per slot while response times are unknown: a queue long enough to cover the
+ * network round trip.
+ */
+export const DEFAULT_PER_SLOT = 1.8;
+/** Minimum requests per slot: keeps a target's slots in use while responses travel. */
+const MIN_PER_SLOT = 1.4;
+/**
+ * Maximum requests per slot, however short the responses: reports of other instances'
+ * requests are as old as the last response, so a longer queue overshoots.
+ */
+const MAX_PER_SLOT = 2.2;
 
 /**
- * Requests per slot at which the last one is still answered within the
- * objective: as many rounds of usual answers as fit into it. Times in ms.
+ * Returns the requests per slot at which the last one is still answered within the
+ * objective: as many typical response times as fit into it. Times are in milliseconds.
  */
-export const queuePerSlot = (
+export const maxRequestsPerSlot = (
   objectiveMs: number | undefined,
-  usualMs: number | undefined,
+  responseMs: number | undefined,
 ): number => {
-  if (objectiveMs === undefined || usualMs === undefined || usualMs <= 0) return PER_SLOT_UNKNOWN;
-  return Math.min(PER_SLOT_MOST, Math.max(PER_SLOT_LEAST, objectiveMs / usualMs));
+  if (objectiveMs === undefined || responseMs === undefined || responseMs <= 0)
+    return DEFAULT_PER_SLOT;
+  return Math.min(MAX_PER_SLOT, Math.max(MIN_PER_SLOT, objectiveMs / responseMs));
 };
--- a/packages/steering/src/placing/rankings.ts
+++ b/packages/steering/src/placing/rankings.ts
@@ -1,7 +1,7 @@
 /**
- * The order in which a service's targets are considered for an object: by
- * weighted rendezvous, each target's weight being its slots' part of what its
- * region takes of the own region's objects.
+ * Ranks a service's targets for an object by weighted rendezvous hashing. A target's
+ * weight is its share, by slots, of the objects that its region takes from the local
+ * region.
  */
 import type { ObjectKey } from '@cardamomladder/types';
 import type { Locality } from './homeShares';
@@ -11,29 +11,29 @@
 import { rank } from './rendezvous';
 import type { PlacedTarget } from './target';
 
-/** A target's weight in ranking. */
+/** A target's weight in the ranking. */
 type Weight = (target: PlacedTarget) => number;
 
-const slotsBy = <Place>(
+const sumSlotsBy = <Location>(
   targets: readonly PlacedTarget[],
-  placeOf: (target: PlacedTarget) => Place,
-): Map<Place, number> => {
-  const slots = new Map<Place, number>();
-  targets.forEach((t) => slots.set(placeOf(t), (slots.get(placeOf(t)) ?? 0) + t.slots));
+  locationOf: (target: PlacedTarget) => Location,
+): Map<Location, number> => {
+  const slots = new Map<Location, number>();
+  targets.forEach((t) => slots.set(locationOf(t), (slots.get(locationOf(t)) ?? 0) + t.slots));
   return slots;
 };
 
 /**
- * Large answers are kept in the own failure domain from this many targets there
- * on. Each domain's targets then remember all objects of their region; a single
- * one would have no room for them, and nobody to stand in for it.
+ * Minimum number of targets in the local failure domain for large responses to be kept
+ * there. Each domain's targets then cache all objects of their region; a single target
+ * would have neither the memory for them nor a replacement when it fails.
  */
-const LEAST_IN_DOMAIN = 2;
+const MIN_TARGETS_IN_DOMAIN = 2;
 
-/** Most object keys whose ranking is remembered per service. */
-const RANKINGS_KEPT = 4096;
+/** Maximum number of cached rankings per service. */
+const MAX_CACHED_RANKINGS = 4096;
 
-/** Remembers rankings while the pool stays the same; ranking costs a hash per target. */
+/** Caches rankings until the pool changes, because ranking computes one hash per target. */
 export class Rankings {
   private generation = -1;
 
@@ -44,39 +44,41 @@
     near: ({ slots }) => slots,
   };
 
-  /** The pool's targets for an object, best first. */
+  /** Returns the pool's targets for an object, best first. */
   of(key: ObjectKey, locality: Locality, pool: ServicePool): PlacedTarget[] {
-    if (pool.generation !== this.generation || this.byKey.size >= RANKINGS_KEPT) this.reset(pool);
-    const name = `${locality}|${key}`;
-    const known = this.byKey.get(name);
-    if (known) return known;
+    if (pool.generation !== this.generation || this.byKey.size >= MAX_CACHED_RANKINGS)
+      this.reset(pool);
+    const cacheKey = `${locality}|${key}`;
+    const cached = this.byKey.get(cacheKey);
+    if (cached) return cached;
     const ranked = rank(key, pool.targets, this.weights[locality]);
-    this.byKey.set(name, ranked);
+    this.byKey.set(cacheKey, ranked);
     return ranked;
   }
 
   private reset(pool: ServicePool): void {
     this.byKey.clear();
     this.generation = pool.generation;
-    const inUse = pool.targets.filter((target) => usable(target, pool));
-    const regions = slotsBy(inUse, (target) => target.region);
-    const inRegion = inUse.filter((target) => target.region === pool.ownRegion);
-    const domains = slotsBy(inRegion, (target) => target.failureDomain);
-    const inDomain = inRegion.filter((target) => target.failureDomain === pool.ownDomain);
-    const keepsInDomain = inDomain.length >= LEAST_IN_DOMAIN;
-    const weightBy = (locality: Locality): Weight => {
-      const regionParts = homeShares(locality, pool.ownRegion, regions, pool.demand);
-      const domainParts = homeShares(locality, pool.ownDomain, domains, pool.domainDemand);
+    const usableTargets = pool.targets.filter((target) => usable(target, pool));
+    const slotsByRegion = sumSlotsBy(usableTargets, (target) => target.region);
+    const regionTargets = usableTargets.filter((target) => target.region === pool.ownRegion);
+    const slotsByDomain = sumSlotsBy(regionTargets, (target) => target.failureDomain);
+    const domainTargets = regionTargets.filter((target) => target.failureDomain === pool.ownDomain);
+    const prefersDomain = domainTargets.length >= MIN_TARGETS_IN_DOMAIN;
+    const weightFor = (locality: Locality): Weight => {
+      const regionShares = homeShares(locality, pool.ownRegion, slotsByRegion, pool.demand);
+      const domainShares = homeShares(locality, pool.ownDomain, slotsByDomain, pool.domainDemand);
       return ({ slots, region, failureDomain }) => {
-        // A slot's part of what its region takes.
-        const even = (slots * (regionParts.get(region) ?? 1)) / (regions.get(region) ?? 1);
-        const isSplit = locality === 'near' && region === pool.ownRegion && keepsInDomain;
-        if (!isSplit) return even;
-        const ownSlots = regions.get(region) ?? 1;
-        const domainSlots = domains.get(failureDomain) ?? 1;
-        return (even * (domainParts.get(failureDomain) ?? 1) * ownSlots) / domainSlots;
+        // The region's share, divided evenly among its slots.
+        const evenWeight =
+          (slots * (regionShares.get(region) ?? 1)) / (slotsByRegion.get(region) ?? 1);
+        const splitsByDomain = locality === 'near' && region === pool.ownRegion && prefersDomain;
+        if (!splitsByDomain) return evenWeight;
+        const ownRegionSlots = slotsByRegion.get(region) ?? 1;
+        const domainSlots = slotsByDomain.get(failureDomain) ?? 1;
+        return (evenWeight * (domainShares.get(failureDomain) ?? 1) * ownRegionSlots) / domainSlots;
       };
     };
-    this.weights = { balanced: weightBy('balanced'), near: weightBy('near') };
+    this.weights = { balanced: weightFor('balanced'), near: weightFor('near') };
   }
 }
--- a/packages/steering/src/placing/repeatBudget.ts
+++ b/packages/steering/src/placing/repeatBudget.ts
@@ -1,26 +1,29 @@
 /**
- * Bounds how many repeated sends one service gets from the whole fleet. When
- * targets fail together, every request that is sent twice turns a fault into
- * an overload. The bound is a ratio of the service's requests plus a fixed
- * number per window, for all instances together; an instance uses the ratio
- * on its own requests and an equal share of the fixed number, so the sum
- * keeps the bound without any exchange.
+ * Bounds how many repeated sends one service gets from the whole fleet. When targets
+ * fail together, sending every request twice turns a fault into an overload. The bound
+ * is a ratio of the service's requests plus a fixed number per window, for all
+ * instances together. An instance applies the ratio to its own requests and takes an
+ * equal share of the fixed number, so the sum stays within the bound without
+ * coordination.
  */
-import { RollingCount } from './rollingCount';
+import { RollingCount } from './slidingWindowCounter';
 
-/** Part of the bound that is used: covers window edges and a fleet counted too small. */
-export const BUDGET_USED = 0.85;
+/**
+ * Fraction of the bound that is used; the rest covers window edges and an
+ * underestimated fleet size.
+ */
+export const BUDGET_UTILIZATION = 0.85;
 
-/** The fleet's bound on repeats per service. */
+/** The fleet-wide bound on repeats per service. */
 export interface RepeatBound {
   /** Repeats allowed per request. */
   ratio: number;
-  /** Repeats allowed per window besides, for the whole fleet. */
+  /** Additional repeats allowed per window, for the whole fleet. */
   extra: number;
   windowMs: number;
 }
 
-/** The repeats of one service at this instance. */
+/** The repeat budget of one service at this instance. */
 export class RepeatBudget {
   private readonly requests: RollingCount;
 
@@ -36,10 +39,13 @@
     this.requests.add(now);
   }
 
-  /** Takes one repeat if the share allows it; `fleetSize` is the number of instances. */
+  /**
+   * Takes one repeat from the budget if this instance's share allows it. `fleetSize`
+   * is the number of instances.
+   */
   spend(now: number, fleetSize: number): boolean {
     const allowed =
-      BUDGET_USED *
+      BUDGET_UTILIZATION *
       (this.bound.ratio * this.requests.total(now) + this.bound.extra / Math.max(1, fleetSize));
     if (this.repeats.total(now) + 1 > allowed) return false;
     this.repeats.add(now);
--- a/packages/steering/src/placing/target.ts
+++ b/packages/steering/src/placing/target.ts
@@ -1,17 +1,17 @@
 /**
- * One target as placing sees it. The record is updated in place as answers
- * and registry changes arrive; placing only reads it.
+ * The state of one target as placement sees it. The record is updated in place as
+ * responses and registry changes arrive; placement only reads it.
  */
 import type { FailureDomainName, RegionName, ServiceName, TargetId } from '@cardamomladder/types';
-import { Load } from './busyEstimate';
-import { NamedLimit } from './namedLimit';
-import { hashOf } from './rendezvous';
-import type { ReportFade } from './reportFade';
-import { RememberedObjects } from './rememberedObjects';
-import { RollingCount } from './rollingCount';
+import { LoadEstimate } from './loadEstimate';
+import { AdvertisedLimit } from './advertisedLimit';
+import { hashId } from './rendezvous';
+import type { ReportFade } from './reportStaleness';
+import { CachedObjects } from './cachedObjects';
+import { RollingCount } from './slidingWindowCounter';
 import { UnansweredSends } from './unansweredSends';
 
-/** A target's standing facts, from the registry. */
+/** A target's attributes from the registry. */
 export interface TargetFacts {
   id: TargetId;
   service: ServiceName;
@@ -21,76 +21,92 @@
   slots: number;
 }
 
-/** What a target has said of itself in its answers; holds for as long as it runs, or until it says otherwise. */
+/**
+ * What a target has reported about itself in its responses. Valid until the target
+ * stops or reports otherwise.
+ */
 export interface SelfReport {
-  /** It leaves: gets no new work, whatever its entry says. */
+  /** The target is leaving and gets no new work, whatever its registry entry says. */
   leaving: boolean;
-  /** It wants no requests from this instance until then, ms. */
+  /** The target accepts no requests from this instance until then, in milliseconds. */
   restUntil: number;
-  /** The limit that it names, if any. */
-  limit: NamedLimit;
+  /** The limit that the target advertises, if any. */
+  limit: AdvertisedLimit;
 }
 
-/** A target with what this instance has learned of it. Times on the steady clock, ms. */
+/**
+ * A target with what this instance knows about it. Times are in milliseconds on the
+ * monotonic clock.
+ */
 export interface PlacedTarget extends TargetFacts {
-  /** The hash of its id, for rankings. */
+  /** Hash of its id, for rankings. */
   hash: Uint8Array;
-  /** Leaving: gets no new work. */
+  /** The target is leaving and gets no new work. */
   leaving: boolean;
-  /** Cold until then: gets no more than its cold share. */
+  /** The target is cold until then and gets no more than its cold share. */
   coldUntil: number;
-  /** Not chosen before then: it failed or could not be reached. */
+  /** The target is not selected before then: it failed or was unreachable. */
   avoidUntil: number;
-  /** Failures in a row without a good answer between. */
+  /** Consecutive failures since the last successful response. */
   failures: number;
-  load: Load;
-  /** This instance's sends that are under way. */
+  load: LoadEstimate;
+  /** This instance's sends that are in flight. */
   unanswered: UnansweredSends;
-  /** Objects it was sent lately by this instance. */
-  objects: RememberedObjects;
+  /** Objects this instance has sent it recently. */
+  objects: CachedObjects;
   /** Sends of the last second while cold. */
   coldSends: RollingCount;
   selfReport: SelfReport;
-  /** Smoothed time from send to answer for objects it remembers, ms; undefined before the first such answer. */
-  answerMs?: number;
+  /**
+   * Smoothed time from send to response for objects that it has cached, in
+   * milliseconds; undefined before the first such response.
+   */
+  responseMs?: number;
 }
 
 const COLD_WINDOW_MS = 1000;
-/** Weight of the newest answer in a target's usual answer time when it is shorter than that. */
+/** Smoothing weight of a new response that is shorter than the target's typical response time. */
 const SMOOTHING_DOWN = 0.3;
-/** The same when it is longer: most long answers waited behind others or came from a slow moment. */
+/**
+ * The same for a longer response: most long responses waited in a queue or came from a
+ * slow moment.
+ */
 const SMOOTHING_UP = 0.05;
 
 /**
- * Takes the time of one answer to a request for an object that the target
- * remembers, ms. `busy` is how many requests the target had when this one was
- * sent: the wait behind them is no property of the target.
+ * Records the time of a response to a request for an object that the target has
+ * cached, in milliseconds. `inFlight` is the number of requests the target had when
+ * this one was sent: the time spent queueing behind them is not a property of the
+ * target.
  */
-export const learnAnswerMs = (target: PlacedTarget, ms: number, busy: number): void => {
-  const unqueuedMs = ms / Math.max(1, (busy + 1) / target.slots);
-  target.answerMs =
-    target.answerMs === undefined
-      ? unqueuedMs
-      : target.answerMs +
-        (unqueuedMs < target.answerMs ? SMOOTHING_DOWN : SMOOTHING_UP) *
-          (unqueuedMs - target.answerMs);
+export const learnAnswerMs = (target: PlacedTarget, ms: number, inFlight: number): void => {
+  const serviceMs = ms / Math.max(1, (inFlight + 1) / target.slots);
+  target.responseMs =
+    target.responseMs === undefined
+      ? serviceMs
+      : target.responseMs +
+        (serviceMs < target.responseMs ? SMOOTHING_DOWN : SMOOTHING_UP) *
+          (serviceMs - target.responseMs);
 };
 
-/** A target that was just learned of; `fade` is shared by its service's targets. */
-export const newTarget = (facts: TargetFacts, fade?: ReportFade): PlacedTarget => ({
-  ...facts,
-  hash: hashOf(facts.id),
+/**
+ * Creates the state of a newly discovered target. `staleness` is shared by all targets
+ * of its service.
+ */
+export const newTarget = (info: TargetFacts, staleness?: ReportFade): PlacedTarget => ({
+  ...info,
+  hash: hashId(info.id),
   leaving: false,
   coldUntil: 0,
   avoidUntil: 0,
   failures: 0,
-  load: new Load(fade),
+  load: new LoadEstimate(staleness),
   unanswered: new UnansweredSends(),
-  objects: new RememberedObjects(),
+  objects: new CachedObjects(),
   coldSends: new RollingCount(COLD_WINDOW_MS),
-  selfReport: { leaving: false, restUntil: 0, limit: new NamedLimit() },
+  selfReport: { leaving: false, restUntil: 0, limit: new AdvertisedLimit() },
 });
 
-/** True when a target has less than so many requests per slot, as far as known. */
-export const hasRoom = (target: PlacedTarget, perSlot: number, now: number): boolean =>
+/** Returns true if the target's estimated requests per slot are below `perSlot`. */
+export const hasCapacity = (target: PlacedTarget, perSlot: number, now: number): boolean =>
   target.load.busyAt(now) < target.slots * perSlot;
--- a/packages/steering/src/placing/unansweredSends.ts
+++ b/packages/steering/src/placing/unansweredSends.ts
@@ -1,40 +1,43 @@
 /**
- * Whether a target has fallen silent, before any of its answers is due.
+ * Detects that a target has become unresponsive before any of its requests times out.
  *
- * The load this answers: targets that turn ten times slower while their health
- * is good. With hundreds of targets and dozens of instances each instance
- * sends a given one a request in some seconds, and learns nothing of it until
- * the first has run out of time, which takes as long as callers wait at most.
- * So a send counts as overdue once it has taken much longer than the longest
- * answer of its kind of late, and the target has answered nothing meanwhile.
+ * A target may become ten times slower while its health checks still pass. With
+ * hundreds of targets and dozens of instances, an instance sends a given target one
+ * request every few seconds and would learn nothing until the first one reaches its
+ * timeout, the longest time that callers wait. So a send counts as overdue once it has
+ * taken much longer than the longest recent response of its kind, if the target has
+ * answered nothing in the meantime.
  */
 
-/** A send that is under way; times on the steady clock, ms. */
+/** A send in flight. Times are in milliseconds on the monotonic clock. */
 interface UnansweredSend {
   sentAt: number;
   overdueAt: number;
 }
 
-/** The sends to one target that are under way. */
+/** The sends to one target that are in flight. */
 export class UnansweredSends {
   private readonly sends = new Set<UnansweredSend>();
 
-  private answeredAt = -Infinity;
+  private lastAnswerAt = -Infinity;
 
-  /** Notes a send; `expectedMs` is how long it takes at most, as far as known. Returns how to end it. */
-  begin(sentAt: number, expectedMs: number): (how: 'answered' | 'lost', at: number) => void {
+  /**
+   * Records a send. `expectedMs` is the longest time it is expected to take. Returns a
+   * function that ends it.
+   */
+  begin(sentAt: number, expectedMs: number): (outcome: 'answered' | 'lost', at: number) => void {
     const send = { sentAt, overdueAt: sentAt + expectedMs };
     this.sends.add(send);
-    return (how, at) => {
+    return (outcome, at) => {
       this.sends.delete(send);
-      if (how === 'answered') this.answeredAt = at;
+      if (outcome === 'answered') this.lastAnswerAt = at;
     };
   }
 
-  /** True while a send is overdue and nothing was answered since it was made. */
+  /** Returns true while a send is overdue and nothing has been answered since it was made. */
   silentAt(now: number): boolean {
     for (const { sentAt, overdueAt } of this.sends)
-      if (overdueAt <= now && sentAt > this.answeredAt) return true;
+      if (overdueAt <= now && sentAt > this.lastAnswerAt) return true;
     return false;
   }
 }
