--- a/packages/types/src/crashes.ts
+++ b/packages/types/src/crashes.ts
@@ -1,29 +1,29 @@
-/** What instances tell each other of targets that crashed. */
+/** Crash reports that instances exchange about targets. */
 import type { CallerDigest, RequestDigest, TargetRun } from './ids';
-import type { StoreMoment } from './storeMoment';
+import type { StoreMoment } from './storePosition';
 
-/** A request as one caller asked it. */
+/** A request together with the caller that issued it. */
 export interface AskedRequest {
   request: RequestDigest;
   caller: CallerDigest;
 }
 
-/** A request that a target answered and lived on: as one caller asked it, or, with none named, as some caller did. */
+/** A request that a target answered without crashing. Without `caller`, the request came from an unspecified caller. */
 export interface AnsweredRequest {
   request: RequestDigest;
   caller?: CallerDigest;
 }
 
-/** A run of a target that crashed, and requests that were under way there. */
+/** A target run that crashed, with the requests that were in flight on it. */
 export interface TargetCrash {
   run: TargetRun;
   requests: readonly AskedRequest[];
 }
 
-/** What one instance saw: crashes, and answers to requests that were under way at crashes. */
+/** Crashes observed by one instance, and answers to requests that were in flight during a crash. */
 export interface CrashReport {
   crashes: readonly TargetCrash[];
   answered: readonly AnsweredRequest[];
-  /** Where it stood in the store, if it was filed again after the store had lost it. */
+  /** The report's original store position; set if it was written again after the store lost it. */
   place?: StoreMoment;
 }
--- a/packages/types/src/errors.ts
+++ b/packages/types/src/errors.ts
@@ -1,9 +1,10 @@
 /**
- * Typed error kinds. Every failure that crosses a package boundary is one of
- * these, carried in a neverthrow `Result`; each message says what to do.
+ * Typed error kinds. Every failure that crosses a package boundary has one of
+ * these kinds and is returned in a neverthrow `Result`. Each message tells the
+ * reader how to resolve the failure.
  */
 
-/** The kinds of failure the system names; each maps to one remedy. */
+/** Failure kinds. Each kind corresponds to one remedy. */
 export type FailureKind =
   | 'settings-invalid'
   | 'document-invalid'
@@ -22,7 +23,7 @@
   | 'deadline-exceeded'
   | 'duplicate-request';
 
-/** A failure with its kind, a message that names the remedy, and optional detail. */
+/** An error with a kind, a message that states the remedy, and optional structured detail. */
 export class Failure extends Error {
   readonly kind: FailureKind;
 
@@ -36,26 +37,26 @@
   }
 }
 
-/** Builds a `Failure`; shorter at call sites than `new Failure(...)`. */
+/** Shorthand for `new Failure(...)`. */
 export const failure = (
   kind: FailureKind,
   message: string,
   detail: Record<string, unknown> = {},
 ): Failure => new Failure(kind, message, detail);
 
-/** One problem found by a schema: where, and what to change. */
+/** A schema validation issue: the path of the invalid field and what to change. */
 export interface SchemaIssue {
   readonly path: readonly PropertyKey[];
   readonly message: string;
 }
 
-/** Renders a field path as `services[1].shares.akureyri`. */
+/** Formats a field path, for example `services[1].shares.akureyri`. */
 export const fieldPath = (path: readonly PropertyKey[]): string =>
   path.reduce<string>((text, part) => {
     if (typeof part === 'number') return `${text}[${part}]`;
     return text === '' ? String(part) : `${text}.${String(part)}`;
   }, '') || '(top level)';
 
-/** Renders schema issues as one line each: `field: what to change`. */
+/** Formats schema issues, one line each: `field: what to change`. */
 export const describeIssues = (issues: readonly SchemaIssue[]): string =>
   issues.map((issue) => `${fieldPath(issue.path)}: ${issue.message}`).join('\n');
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -46,9 +46,9 @@
   targetRun,
 } from './ids';
 export type { AnsweredRequest, AskedRequest, CrashReport, TargetCrash } from './crashes';
-export { RecentMap } from './recentMap';
-export type { StoreMoment } from './storeMoment';
-export { compareMoments, momentOf } from './storeMoment';
+export { RecentMap } from './expiringMap';
+export type { StoreMoment } from './storePosition';
+export { compareMoments, momentOf } from './storePosition';
 export { splitAddress } from './address';
 export { pause } from './pause';
 export type { FailureKind, SchemaIssue } from './errors';
--- a/packages/types/src/pause.ts
+++ b/packages/types/src/pause.ts
@@ -1,7 +1,7 @@
 /**
- * Resolves after `ms`. It uses the timer that is in force when it is called,
- * so that tests can play hours of a fleet in virtual time; the promises of
- * `node:timers` keep the real one.
+ * Resolves after `ms` milliseconds. Looks up the global `setTimeout` on each
+ * call, so that tests with fake timers can simulate hours of fleet operation;
+ * the promise API of `node:timers` always uses the real timer.
  */
 export const pause = (ms: number): Promise<void> =>
   new Promise((resolve) => {
