--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -2,7 +2,7 @@
 import type { Beliefs, Store } from '@cardamomladder/fleet';
 import type { InstanceSettings } from '@cardamomladder/settings';
 import type { GatewayMetrics, LineWriter } from '@cardamomladder/telemetry';
-import { watchLoopDelay } from './lifecycle/loopDelay';
+import { monitorLoopDelay } from './lifecycle/loopDelay';
 import { stopGracefully } from './lifecycle/stop';
 import { startListeners } from './listeners';
 import { buildParts, registerWhenConfigured, startFollowing } from './parts';
@@ -39,7 +39,7 @@
   const follower = startFollowing(parts);
   const linesDropped = () => logWriter?.dropped() ?? 0;
   const listeners = await startListeners(parts, follower, linesDropped);
-  const stopLoopWatch = watchLoopDelay(parts);
+  const stopLoopWatch = monitorLoopDelay(parts);
   log.write('lifecycle', undefined, { event: 'started', id: self.id, ...settings.listen });
 
   return {
--- a/packages/gateway/src/lifecycle/__tests__/loopDelay.test.ts
+++ b/packages/gateway/src/lifecycle/__tests__/loopDelay.test.ts
@@ -1,8 +1,8 @@
-/** Whether an instance notices that it runs late. */
+/** Tests of the event loop monitor. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { LogFields } from '@cardamomladder/telemetry';
 import { gatewayMetrics } from '@cardamomladder/telemetry';
-import { LATE_FROM_MS, LOOK_EVERY_MS, watchLoopDelay } from '../loopDelay';
+import { CHECK_INTERVAL_MS, LOG_THRESHOLD_MS, monitorLoopDelay } from '../loopDelay';
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -11,39 +11,38 @@
   vi.useRealTimers();
 });
 
-const watched = () => {
-  let heldUpMs = 0;
+const startMonitor = () => {
+  let addedDelayMs = 0;
   const lines: LogFields[] = [];
   const metrics = gatewayMetrics(false);
-  const stop = watchLoopDelay({
-    now: () => Date.now() + heldUpMs,
+  const stop = monitorLoopDelay({
+    now: () => Date.now() + addedDelayMs,
     log: { write: (_kind, _request, fields) => lines.push(fields as LogFields) },
     metrics,
   });
-  const holdUp = (ms: number) => {
-    heldUpMs += ms;
-    vi.advanceTimersByTime(LOOK_EVERY_MS);
+  const delayLoop = (ms: number) => {
+    addedDelayMs += ms;
+    vi.advanceTimersByTime(CHECK_INTERVAL_MS);
   };
   const delay = async () => (await metrics.loopDelay.get()).values[0]?.value;
-  return { lines, holdUp, delay, stop };
+  return { lines, delayLoop, delay, stop };
 };
 
-describe('the delay of the loop', () => {
-  it('is shown, and written once callers feel it', async () => {
-    // Symptom: one of 195 instances answers late, and its log shows only long
-    // sends to many targets. Sequence: its machine turns slow; the targets
-    // answer in time, the answers are read late. Cause: nothing told the
-    // instance's own delay from the targets'.
-    const { lines, holdUp, delay, stop } = watched();
-    holdUp(20);
+describe('event loop delay', () => {
+  it('is exported as a metric and logged from the threshold on', async () => {
+    // Guards against an instance's own delay being mistaken for slow targets: on
+    // a slow machine, one of 195 instances read responses late although the
+    // targets answered in time, and its log only showed long sends.
+    const { lines, delayLoop, delay, stop } = startMonitor();
+    delayLoop(20);
     expect(lines).toEqual([]);
     expect(await delay()).toBeCloseTo(0.02);
-    holdUp(LATE_FROM_MS);
-    holdUp(0);
-    expect(lines).toEqual([{ event: 'running late', ms: LATE_FROM_MS }]);
+    delayLoop(LOG_THRESHOLD_MS);
+    delayLoop(0);
+    expect(lines).toEqual([{ event: 'running late', ms: LOG_THRESHOLD_MS }]);
     expect(await delay()).toBe(0);
     stop();
-    holdUp(5000);
+    delayLoop(5000);
     expect(lines).toHaveLength(1);
   });
 });
--- a/packages/gateway/src/lifecycle/__tests__/namedInstances.test.ts
+++ b/packages/gateway/src/lifecycle/__tests__/namedInstances.test.ts
@@ -1,4 +1,4 @@
-/** Among whom shared things are divided: those that callers are sent to, now or lately. */
+/** Tests of the advertised instances, among which shared limits are divided. */
 import { describe, expect, it } from 'vitest';
 import type { InstanceEntry } from '@cardamomladder/fleet';
 import { Beliefs } from '@cardamomladder/fleet';
@@ -17,7 +17,7 @@
 const fleet = () => {
   const beliefs = new Beliefs();
   const clock = { now: 0 };
-  const named = new NamedInstances(beliefs, () => clock.now);
+  const advertised = new NamedInstances(beliefs, () => clock.now);
   const key = (id: string) => `instances/${id}`;
   let revision = 0;
   const join = (instance: InstanceEntry) => {
@@ -28,13 +28,13 @@
     revision += 1;
     beliefs.take({ key: key(id), revision, removed: true });
   };
-  const ids = () => [...named.holders().ids].sort();
-  return { clock, named, join, leave, ids };
+  const ids = () => [...advertised.holders().ids].sort();
+  return { clock, advertised, join, leave, ids };
 };
 
-describe('named instances', () => {
-  it('are the strong ones, and count for a while after they have gone', () => {
-    // Guards against shares that grow while those that are cut off still use theirs.
+describe('advertised instances', () => {
+  it('are the strong ones, and still count for a while after their removal', () => {
+    // Guards against shares that grow while partitioned instances still use theirs.
     const { clock, join, leave, ids } = fleet();
     [machine('s-1', 1), machine('s-2', 1), machine('w-1', 0.2), machine('w-2', 0.2)].forEach(join);
     expect(ids()).toEqual(['s-1', 's-2']);
@@ -45,11 +45,11 @@
     expect(ids()).toEqual(['s-2', 'w-1', 'w-2']);
   });
 
-  it('count as several more while an instance has just started and may not know all', () => {
-    const { clock, named, join } = fleet();
+  it('are assumed to be more after startup, when not all entries may be known', () => {
+    const { clock, advertised, join } = fleet();
     join(machine('s-1', 1));
-    expect(named.holders().size).toBe(10);
+    expect(advertised.holders().size).toBe(10);
     clock.now = 4000;
-    expect(named.holders().size).toBe(1);
+    expect(advertised.holders().size).toBe(1);
   });
 });
--- a/packages/gateway/src/lifecycle/fleetMembers.ts
+++ b/packages/gateway/src/lifecycle/fleetMembers.ts
@@ -1,22 +1,23 @@
 /**
- * How many instances share the fleet's budgets. A registry that shrinks for
- * a moment (entries lapsed, a partition) must not let each instance take a
- * larger share while the others still use theirs: cold targets got 31 requests
- * a second of 26 tolerated as three of nine entries had lapsed. So instances
- * count for a while after they have gone; and an instance that has just started has not yet seen all.
+ * Counts the instances that share the fleet's budgets. If the registry shrinks
+ * temporarily (expired entries, a network partition), the remaining instances
+ * must not take larger shares while the others still use theirs: when three of
+ * nine entries had expired, cold targets received 31 requests per second where
+ * 26 were tolerated. Removed instances are therefore counted for a while, and a
+ * newly started instance, which has not yet seen all entries, assumes a minimum.
  */
 import type { Beliefs } from '@cardamomladder/fleet';
 import type { InstanceId } from '@cardamomladder/types';
-import { LatelyGone } from './latelyGone';
+import { RecentlyRemovedInstances } from './recentlyRemovedInstances';
 
-/** Assumed until the instance has run for `SETTLE_MS`: about the size of today's fleets. */
-export const UNSETTLED_SIZE = 10;
-/** Entries of all instances show up within this after a start, ms. */
+/** Minimum fleet size assumed until the instance has run for `SETTLE_MS`: about the size of today's fleets. */
+export const ASSUMED_FLEET_SIZE = 10;
+/** Time after startup within which the entries of all instances appear, ms. */
 const SETTLE_MS = 6000;
 
-/** The instances that share what is shared. */
+/** The instances that share the fleet's budgets. */
 export class FleetMembers {
-  private readonly gone: LatelyGone;
+  private readonly recentlyRemoved: RecentlyRemovedInstances;
 
   private readonly startedAt: number;
 
@@ -27,24 +28,24 @@
     private readonly now: () => number,
   ) {
     this.startedAt = now();
-    this.gone = new LatelyGone(now);
+    this.recentlyRemoved = new RecentlyRemovedInstances(now);
     beliefs.changes.subscribe((change) => {
-      if (change.kind === 'instance-gone') this.gone.note(change.id);
-      if (change.kind === 'instance') this.gone.back(change.instance.id);
+      if (change.kind === 'instance-gone') this.recentlyRemoved.add(change.id);
+      if (change.kind === 'instance') this.recentlyRemoved.remove(change.instance.id);
       if (change.kind === 'instance' || change.kind === 'instance-gone') this.members = undefined;
     });
   }
 
-  /** Instances in the registry now or lately; the same array until one comes or goes. */
+  /** Instances that are registered or were recently removed; returns the same array until membership changes. */
   list(): readonly InstanceId[] {
-    if (this.gone.forget()) this.members = undefined;
-    this.members ??= [...this.beliefs.instances.keys(), ...this.gone.ids()];
+    if (this.recentlyRemoved.prune()) this.members = undefined;
+    this.members ??= [...this.beliefs.instances.keys(), ...this.recentlyRemoved.ids()];
     return this.members;
   }
 
-  /** How many instances share the budgets; never smaller than what the registry shows. */
+  /** Number of instances that share the budgets; never less than the number of registry entries. */
   size(): number {
     const settled = this.now() - this.startedAt >= SETTLE_MS;
-    return Math.max(settled ? 1 : UNSETTLED_SIZE, this.list().length);
+    return Math.max(settled ? 1 : ASSUMED_FLEET_SIZE, this.list().length);
   }
 }
--- a/packages/gateway/src/lifecycle/loopDelay.ts
+++ b/packages/gateway/src/lifecycle/loopDelay.ts
@@ -1,37 +1,37 @@
 /**
- * Notices that this instance runs late. A machine that turned slow, is starved
- * by its neighbours or was suspended answers everything late while every
- * target and the store look fine; in the logs of one of two hundred instances
- * only sends that take long would show, as if the targets were slow. A timer
- * that fires late tells the two apart.
+ * Monitors the event loop delay of this instance. On a machine that is slow,
+ * starved by its neighbours or was suspended, every response is late although
+ * the targets and the store are healthy; the log of one such instance out of
+ * two hundred would only show long sends, as if the targets were slow. A timer
+ * that fires late distinguishes the two cases.
  */
 import type { GatewayMetrics } from '@cardamomladder/telemetry';
 import type { DecisionLog } from '../decisionLog';
 
-/** How often the loop is looked at, ms: seldom enough that a loop with nothing to do stays asleep. */
-export const LOOK_EVERY_MS = 1000;
-/** From this delay on a line is written, ms: a quarter of the shortest objective in use, so that callers feel it. */
-export const LATE_FROM_MS = 100;
+/** Interval between checks of the event loop, ms: long enough that an idle process stays asleep. */
+export const CHECK_INTERVAL_MS = 1000;
+/** Delay from which a line is logged, ms: a quarter of the shortest latency objective in use, so callers notice it. */
+export const LOG_THRESHOLD_MS = 100;
 
 const MS_PER_SECOND = 1000;
 
-/** What the watch needs of the instance. */
+/** Dependencies of the monitor. */
 export interface LoopDelayOptions {
   now: () => number;
   log: DecisionLog;
   metrics: GatewayMetrics;
 }
 
-/** Looks at the loop from now on; returns how to stop. */
-export const watchLoopDelay = ({ now, log, metrics }: LoopDelayOptions): (() => void) => {
-  let dueAt = now() + LOOK_EVERY_MS;
+/** Starts monitoring the event loop; returns a function that stops it. */
+export const monitorLoopDelay = ({ now, log, metrics }: LoopDelayOptions): (() => void) => {
+  let dueAt = now() + CHECK_INTERVAL_MS;
   const timer = setInterval(() => {
     const lateMs = Math.max(0, now() - dueAt);
-    dueAt = now() + LOOK_EVERY_MS;
+    dueAt = now() + CHECK_INTERVAL_MS;
     metrics.loopDelay.set(lateMs / MS_PER_SECOND);
-    if (lateMs >= LATE_FROM_MS)
+    if (lateMs >= LOG_THRESHOLD_MS)
       log.write('lifecycle', undefined, { event: 'running late', ms: Math.round(lateMs) });
-  }, LOOK_EVERY_MS);
+  }, CHECK_INTERVAL_MS);
   timer.unref();
   return () => clearInterval(timer);
 };
--- a/packages/gateway/src/lifecycle/namedInstances.ts
+++ b/packages/gateway/src/lifecycle/namedInstances.ts
@@ -1,19 +1,20 @@
 /**
- * The instances that callers are sent to, now or lately. What is divided among
- * them must not grow at once when some of them vanish from the registry: they
- * may live on behind a cut, and use their part.
+ * The instances that the directory advertises to callers, now or until
+ * recently. When some of them disappear from the registry, the shares of the
+ * others must not grow at once: the missing ones may still run behind a network
+ * partition and use their shares.
  */
 import type { Beliefs, InstanceEntry } from '@cardamomladder/fleet';
 import { strongOf } from '@cardamomladder/fleet';
 import type { Sharers } from '@cardamomladder/steering';
 import type { InstanceId } from '@cardamomladder/types';
-import { UNSETTLED_SIZE } from './fleetMembers';
-import { LatelyGone } from './latelyGone';
+import { ASSUMED_FLEET_SIZE } from './fleetMembers';
+import { RecentlyRemovedInstances } from './recentlyRemovedInstances';
 
-/** Until an instance has run for this long, ms, others may not have registered yet; a whole fleet does so within two seconds. */
+/** Until an instance has run for this long, ms, others may not have registered yet; a whole fleet registers within two seconds. */
 const SETTLE_MS = 3000;
 
-/** The named ones of each failure domain. */
+/** Selects the instances that are advertised in each failure domain. */
 export const namedIn = (instances: readonly InstanceEntry[]): InstanceEntry[] => {
   const byDomain = new Map<string, InstanceEntry[]>();
   instances.forEach((instance) => {
@@ -23,14 +24,14 @@
   return [...byDomain.values()].flatMap((group) => [...strongOf(group)]);
 };
 
-/** Follows whom callers are sent to. */
+/** Tracks the advertised instances. */
 export class NamedInstances {
-  /** Those that were named lately. */
-  private readonly gone: LatelyGone;
+  /** Instances that were advertised until recently. */
+  private readonly recentlyRemoved: RecentlyRemovedInstances;
 
-  private named = new Set<InstanceId>();
+  private advertised = new Set<InstanceId>();
 
-  private held: Sharers | undefined;
+  private cachedSharers: Sharers | undefined;
 
   private stale = true;
 
@@ -41,38 +42,39 @@
     private readonly now: () => number,
   ) {
     this.startedAt = now();
-    this.gone = new LatelyGone(now);
+    this.recentlyRemoved = new RecentlyRemovedInstances(now);
     beliefs.changes.subscribe(({ kind }) => {
       if (kind === 'instance' || kind === 'instance-gone') this.stale = true;
     });
   }
 
-  /** The instances to divide by; the same object until that changes. */
+  /** The instances among which limits are divided; returns the same object until they change. */
   holders(): Sharers {
-    if (this.stale) this.look();
-    if (this.gone.forget()) this.held = undefined;
-    this.held ??= this.count();
-    if (this.held.size > this.held.ids.length && this.settled) this.held = this.count();
-    return this.held;
+    if (this.stale) this.refresh();
+    if (this.recentlyRemoved.prune()) this.cachedSharers = undefined;
+    this.cachedSharers ??= this.computeSharers();
+    if (this.cachedSharers.size > this.cachedSharers.ids.length && this.settled)
+      this.cachedSharers = this.computeSharers();
+    return this.cachedSharers;
   }
 
   private get settled(): boolean {
     return this.now() - this.startedAt >= SETTLE_MS;
   }
 
-  private look(): void {
+  private refresh(): void {
     this.stale = false;
-    const named = new Set(namedIn([...this.beliefs.instances.values()]).map(({ id }) => id));
-    this.named.forEach((id) => {
-      if (!named.has(id)) this.gone.note(id);
+    const advertised = new Set(namedIn([...this.beliefs.instances.values()]).map(({ id }) => id));
+    this.advertised.forEach((id) => {
+      if (!advertised.has(id)) this.recentlyRemoved.add(id);
     });
-    named.forEach((id) => this.gone.back(id));
-    this.named = named;
-    this.held = undefined;
+    advertised.forEach((id) => this.recentlyRemoved.remove(id));
+    this.advertised = advertised;
+    this.cachedSharers = undefined;
   }
 
-  private count(): Sharers {
-    const ids = [...this.named, ...this.gone.ids()];
-    return { ids, size: Math.max(this.settled ? 1 : UNSETTLED_SIZE, ids.length) };
+  private computeSharers(): Sharers {
+    const ids = [...this.advertised, ...this.recentlyRemoved.ids()];
+    return { ids, size: Math.max(this.settled ? 1 : ASSUMED_FLEET_SIZE, ids.length) };
   }
 }
--- a/packages/gateway/src/lifecycle/phase.ts
+++ b/packages/gateway/src/lifecycle/phase.ts
@@ -1,23 +1,23 @@
 /**
- * The course of a planned stop. Callers keep using their connections until a
- * directory answer without this instance has replaced the one they hold, so a
- * stop that closed at once would cut them; and work taken too late can't end
- * before the process is killed.
+ * Phases of a planned shutdown. Callers keep using their connections until
+ * their cached directory response is replaced by one without this instance, so
+ * closing connections at once would interrupt requests. Requests accepted too
+ * late, on the other hand, cannot finish before the process is killed.
  *
- * - `serving`: all is taken.
- * - `leaving`: not ready, out of the directory; requests are still served,
- *   and each connection closes with its last answer.
- * - `refusing`: new requests are answered "not run, come again at once".
+ * - `serving`: all requests are accepted.
+ * - `leaving`: not ready and removed from the directory; requests are still
+ *   served, and each connection is closed after its last response.
+ * - `refusing`: new requests are rejected as not run and can be retried at once.
  */
 import { BehaviorSubject } from 'rxjs';
 
-/** Where an instance is between start and stop. */
+/** Lifecycle phase of an instance. */
 export type Phase = 'starting' | 'serving' | 'leaving' | 'refusing';
 
-/** Part of the grace time after which new requests are refused: those taken before have the other half to finish. */
-export const REFUSE_AFTER_PART = 0.5;
-/** Part of the grace time after which the process ends whatever is still open: the rest covers late timers and the last log lines. */
-export const END_AFTER_PART = 0.88;
+/** Fraction of the grace period after which new requests are rejected; requests accepted before have the other half to finish. */
+export const REFUSE_AFTER_FRACTION = 0.5;
+/** Fraction of the grace period after which the process exits even with open requests; the rest covers late timers and the last log lines. */
+export const END_AFTER_FRACTION = 0.88;
 
-/** The instance's phase, for those that act on it. */
-export const startPhase = (): BehaviorSubject<Phase> => new BehaviorSubject<Phase>('starting');
+/** Creates the observable phase of an instance. */
+export const createPhase = (): BehaviorSubject<Phase> => new BehaviorSubject<Phase>('starting');
--- a/packages/gateway/src/lifecycle/stop.ts
+++ b/packages/gateway/src/lifecycle/stop.ts
@@ -1,18 +1,18 @@
-/** A planned stop, from the signal to the moment when nothing is under way. */
+/** Planned shutdown, from the signal until no requests are in progress. */
 import type { BehaviorSubject } from 'rxjs';
 import type { Registration } from '@cardamomladder/fleet';
 import { pause } from '@cardamomladder/types';
 import type { DecisionLog } from '../decisionLog';
 import type { CallerConnections } from '../server/callerConnections';
 import type { Phase } from './phase';
-import { END_AFTER_PART, REFUSE_AFTER_PART } from './phase';
+import { END_AFTER_FRACTION, REFUSE_AFTER_FRACTION } from './phase';
 
-/** How often the stop looks whether all is answered, ms. */
-const LOOK_EVERY_MS = 50;
-/** With nothing under way for this long after refusing began, the stop ends early, ms. */
-const QUIET_MS = 300;
+/** Interval between checks for unanswered requests, ms. */
+const POLL_INTERVAL_MS = 50;
+/** If no request is in progress for this long in the `refusing` phase, the shutdown ends early, ms. */
+const QUIET_PERIOD_MS = 300;
 
-/** What a stop needs of the instance. */
+/** Dependencies of the shutdown. */
 export interface StopOptions {
   phase: BehaviorSubject<Phase>;
   registration: Registration | undefined;
@@ -22,21 +22,21 @@
   now: () => number;
 }
 
-/** Resolves when nothing has been under way for a while, or at `endAt`. */
-const untilQuiet = async (
+/** Resolves when no request has been in progress for the quiet period, or at `endAt`. */
+const waitUntilQuiet = async (
   { connections, now }: StopOptions,
   endAt: number,
 ): Promise<'quiet' | 'out-of-time'> => {
   let quietSince = now();
   while (now() < endAt) {
     if (connections.unanswered > 0) quietSince = now();
-    if (now() - quietSince >= QUIET_MS) return 'quiet';
-    await pause(LOOK_EVERY_MS);
+    if (now() - quietSince >= QUIET_PERIOD_MS) return 'quiet';
+    await pause(POLL_INTERVAL_MS);
   }
   return 'out-of-time';
 };
 
-/** Leaves the directory, serves on, refuses, and waits for the rest. */
+/** Leaves the directory, keeps serving for a time, then rejects new requests and waits for the rest to finish. */
 export const stopGracefully = async (options: StopOptions): Promise<void> => {
   const { phase, registration, connections, graceMs, log, now } = options;
   const startedAt = now();
@@ -45,9 +45,9 @@
   registration?.leave().catch((error: Error) => {
     log.write('registration', undefined, { event: 'leaving failed', detail: error.message });
   });
-  await pause(graceMs * REFUSE_AFTER_PART);
+  await pause(graceMs * REFUSE_AFTER_FRACTION);
   phase.next('refusing');
-  const ended = await untilQuiet(options, startedAt + graceMs * END_AFTER_PART);
+  const ended = await waitUntilQuiet(options, startedAt + graceMs * END_AFTER_FRACTION);
   log.write('lifecycle', undefined, {
     event: 'stopped',
     ended,
--- a/packages/gateway/src/parts.ts
+++ b/packages/gateway/src/parts.ts
@@ -20,7 +20,7 @@
 import { FleetMembers } from './lifecycle/fleetMembers';
 import { NamedInstances } from './lifecycle/namedInstances';
 import type { Phase } from './lifecycle/phase';
-import { startPhase } from './lifecycle/phase';
+import { createPhase } from './lifecycle/phase';
 import { askPeers, askSnapshot } from './peers/ask';
 import { reportExchange } from './peers/reportExchange';
 import { VouchedPeers, knownInstances } from './peers/vouched';
@@ -119,7 +119,7 @@
 export const buildParts = (settings: () => InstanceSettings, store: Store, wire: Wire): Parts => {
   const now = () => performance.now();
   const log = decisionLog(logger('gateway'), now);
-  const phase = startPhase();
+  const phase = createPhase();
   const beliefs = new Beliefs();
   logBeliefs(beliefs, log);
   const fleet = new FleetMembers(beliefs, now);
