--- a/packages/gateway/src/listeners.ts
+++ b/packages/gateway/src/listeners.ts
@@ -6,7 +6,7 @@
 import type { Parts } from './parts';
 import { peerRouter } from './peers/router';
 import { createPeerServer } from './peers/server';
-import { knownInstances } from './peers/vouched';
+import { knownInstances } from './peers/recentPeers';
 import type { Quotas } from './quota/quotas';
 import { startQuotas } from './quota/quotas';
 import { repeatBudgets } from './requests/repeatBudgets';
@@ -155,14 +155,14 @@
   const quotas = quotasOf(parts, follower);
   const { server: callers, connections } = callersOf(parts, registry, quotas);
   const directoryTtl = Math.min(DIRECTORY_TTL_SECONDS, bounds.directoryTtlSeconds);
-  const vouch = vouched.hear.bind(vouched);
+  const recordPeer = vouched.record.bind(vouched);
   const servers: [Server, string][] = [
     [callers, at.callers],
     [createDirectoryServer(wire, lookUpIn(parts), directoryTtl), at.directory],
     [createReadinessServer(wire, ready), at.readiness],
     [
       createPeerServer(
-        peerRouter({ beliefs, follower, crashReports, vouch, lend: quotas.lend, now }),
+        peerRouter({ beliefs, follower, crashReports, recordPeer, lend: quotas.lend, now }),
       ),
       at.peers,
     ],
--- a/packages/gateway/src/parts.ts
+++ b/packages/gateway/src/parts.ts
@@ -23,7 +23,7 @@
 import { createPhase } from './lifecycle/phase';
 import { askPeers, askSnapshot } from './peers/ask';
 import { reportExchange } from './peers/reportExchange';
-import { VouchedPeers, knownInstances } from './peers/vouched';
+import { RecentPeers, knownInstances } from './peers/recentPeers';
 import { watchPeer } from './peers/watch';
 import type { Wire } from './wireNames';
 
@@ -38,7 +38,7 @@
   phase: BehaviorSubject<Phase>;
   beliefs: Beliefs;
   self: InstanceEntry;
-  vouched: VouchedPeers;
+  vouched: RecentPeers;
   fleet: FleetMembers;
   /** The instances that callers are sent to. */
   named: NamedInstances;
@@ -107,10 +107,10 @@
 };
 
 /** Peers by their own word, unless their entry has gone since. */
-const vouchedOf = (beliefs: Beliefs, now: () => number): VouchedPeers => {
-  const vouched = new VouchedPeers(now);
+const vouchedOf = (beliefs: Beliefs, now: () => number): RecentPeers => {
+  const vouched = new RecentPeers(now);
   beliefs.changes.subscribe((change) => {
-    if (change.kind === 'instance-gone') vouched.gone(change.id);
+    if (change.kind === 'instance-gone') vouched.remove(change.id);
   });
   return vouched;
 };
@@ -149,18 +149,18 @@
 export const startFollowing = (parts: Parts): Follower => {
   const { store, beliefs, vouched, crashReports, self, log, metrics, now, ready } = parts;
   const { seeds } = parts.settings();
-  const vouchFor = () => (ready() ? self : null);
+  const ownServingEntry = () => (ready() ? self : null);
   const peers = () => [...knownInstances(beliefs, vouched).values()];
   let storeReached = false;
   const exchangeReports = reportExchange({ crashReports, storeReached: () => storeReached, log });
-  const asking = { peers, self, seeds, vouchFor, exchangeReports, log };
+  const asking = { peers, self, seeds, ownServingEntry, exchangeReports, log };
   const follower = follow({
     store,
     beliefs,
     self,
     askPeers: askPeers(asking),
     askSnapshot: askSnapshot(asking, Math.random),
-    watchPeer: watchPeer({ vouchFor, log }),
+    watchPeer: watchPeer({ ownServingEntry, log }),
     now,
     random: Math.random,
     report: (event) => log.write('store', undefined, { ...event }),
--- /dev/null
+++ b/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
@@ -0,0 +1,223 @@
+/**
+ * Simulates the instances of a fleet in virtual time: real followers,
+ * registrations and peer routers, on a simulated store and network that tests
+ * can partition.
+ */
+import { ResultAsync } from 'neverthrow';
+import type {
+  FactRecord,
+  FollowedFacts,
+  Follower,
+  InstanceEntry,
+  PeerAnswer,
+  Registration,
+} from '@cardamomladder/fleet';
+import { Beliefs, follow, startRegistration, unpackFacts } from '@cardamomladder/fleet';
+import type { StoreMoment } from '@cardamomladder/types';
+import {
+  failureDomainName,
+  instanceId,
+  pause,
+  regionName,
+  socketAddress,
+} from '@cardamomladder/types';
+import { selectPeers } from '../ask';
+import type { PeerRouter } from '../router';
+import { peerRouter } from '../router';
+import { RecentPeers, knownInstances } from '../recentPeers';
+import { followedFacts } from '../watch';
+import type { SimulatedStore } from './simulatedStore';
+import { StoreCallError } from './simulatedStore';
+
+/** Failure domains and their regions, assigned to instances in rotation. */
+const LOCATIONS = [
+  ['north-a', 'north'],
+  ['south-a', 'south'],
+  ['east-a', 'east'],
+  ['north-b', 'north'],
+  ['south-b', 'south'],
+  ['east-b', 'east'],
+] as const;
+/** Round-trip time between two instances, ms: within one region and between two. */
+const SAME_REGION_RTT_MS = 2;
+const CROSS_REGION_RTT_MS = 40;
+/** Timeout of a facts request, and the time a followed peer may take beyond its wait time, ms. */
+const FACTS_TIMEOUT_MS = 400;
+const CHANGES_TIMEOUT_MARGIN_MS = 300;
+
+/** Network partition of an instance: from the store only, or from everything, as when its process is frozen. */
+export type Partition = 'none' | 'store' | 'all';
+
+/** One simulated instance. */
+export interface SimulatedInstance {
+  self: InstanceEntry;
+  beliefs: Beliefs;
+  follower: Follower;
+  partition: Partition;
+  registration: Registration;
+  answers: ReturnType<PeerRouter['createCaller']>;
+}
+
+const entryFor = (number: number): InstanceEntry => {
+  const [failureDomain, region] = LOCATIONS[number % LOCATIONS.length];
+  return {
+    id: instanceId(`i-${number}`),
+    callerAddress: socketAddress(`i-${number}:1`),
+    peerAddress: socketAddress(`i-${number}:2`),
+    failureDomain: failureDomainName(failureDomain),
+    region: regionName(region),
+    capacity: { cores: number % 7 === 0 ? 1.35 : 0.27, linkMbps: 200 },
+  };
+};
+
+/** Resolves with the value, or with undefined after the timeout. */
+const withTimeout = async <T>(
+  ms: number,
+  pending: Promise<T> | undefined,
+): Promise<T | undefined> => {
+  let timer: NodeJS.Timeout | undefined;
+  const timeout = new Promise<undefined>((resolve) => {
+    timer = setTimeout(() => resolve(undefined), ms);
+  });
+  try {
+    return await (pending ? Promise.race([pending, timeout]) : timeout);
+  } finally {
+    clearTimeout(timer);
+  }
+};
+
+const unavailable = (reason: string): StoreCallError => new StoreCallError('unavailable', reason);
+
+/** The instances of one simulated fleet. */
+export class SimulatedFleet {
+  readonly live = new Map<string, SimulatedInstance>();
+
+  private started = 0;
+
+  constructor(
+    private readonly store: SimulatedStore,
+    private readonly random: () => number,
+  ) {}
+
+  /** Starts an instance. */
+  join(): SimulatedInstance {
+    const self = entryFor(this.started);
+    this.started += 1;
+    const beliefs = new Beliefs();
+    const now = () => performance.now();
+    const member = { self, beliefs, partition: 'none' } as SimulatedInstance;
+    const store = this.store.clientFor(() => member.partition === 'none');
+    const recentPeers = new RecentPeers(now);
+    let round = 0;
+    member.follower = follow({
+      store,
+      beliefs,
+      self,
+      askPeers: async (known) => {
+        const peers = [...knownInstances(beliefs, recentPeers).values()];
+        round += 1;
+        const answers = await Promise.all(
+          selectPeers(peers, self, [], round).map((at) => this.askFacts(member, at, known)),
+        );
+        return answers.filter((answer) => answer !== undefined);
+      },
+      askSnapshot: async () => undefined,
+      watchPeer: (peer, known, waitMs) =>
+        ResultAsync.fromPromise(
+          this.askChanges(member, peer, known, waitMs),
+          (error) => error as StoreCallError,
+        ),
+      now,
+      random: this.random,
+      report: () => {},
+    });
+    member.answers = peerRouter({
+      lend: () => ({ lent: [] }),
+      beliefs,
+      follower: member.follower,
+      crashReports: {
+        mark: { log: self.id, sequence: 0 },
+        after: () => ({ mark: { log: self.id, sequence: 0 }, reports: [] }),
+        hear: () => {},
+      },
+      recordPeer: recentPeers.record.bind(recentPeers),
+      now,
+    }).createCaller({});
+    member.registration = startRegistration({ store, beliefs, self, now, report: () => {} });
+    this.live.set(self.peerAddress, member);
+    return member;
+  }
+
+  /** Stops an instance gracefully, or kills it; the entry of a killed instance stays until its lease expires. */
+  terminate(member: SimulatedInstance, how: 'stopped' | 'killed'): void {
+    this.live.delete(member.self.peerAddress);
+    member.follower.stop();
+    const left = () => {};
+    if (how === 'killed') Object.assign(member, { partition: 'all' });
+    member.registration.leave().then(left, left);
+  }
+
+  /** A call from one instance to another, which may be stopped or partitioned. */
+  private async call<T>(
+    from: SimulatedInstance,
+    at: string,
+    withinMs: number,
+    answer: (peer: SimulatedInstance) => Promise<T>,
+  ): Promise<T> {
+    const to = this.live.get(at);
+    const isNear = to?.self.region === from.self.region;
+    await pause(isNear ? SAME_REGION_RTT_MS : CROSS_REGION_RTT_MS);
+    if (!to) throw unavailable('connection refused');
+    const isPartitioned = () => from.partition === 'all' || to.partition === 'all';
+    const pending = isPartitioned() ? undefined : answer(to);
+    const value = await withTimeout(withinMs, pending);
+    if (isPartitioned() || !pending || value === undefined) throw unavailable('no response');
+    if (!this.live.has(at)) throw unavailable('connection closed');
+    return value;
+  }
+
+  private async askFacts(
+    from: SimulatedInstance,
+    at: string,
+    known: StoreMoment,
+  ): Promise<PeerAnswer | undefined> {
+    try {
+      const request = { ...known, asker: from.self };
+      const { packed, changes, storeReachedForMs } = await this.call(
+        from,
+        at,
+        FACTS_TIMEOUT_MS,
+        (peer) => peer.answers.facts(request),
+      );
+      if (packed === undefined) return { storeReachedForMs, changes };
+      const list = await unpackFacts(packed);
+      return list.isOk() ? { storeReachedForMs, list: list.value } : undefined;
+    } catch {
+      return undefined;
+    }
+  }
+
+  private async askChanges(
+    from: SimulatedInstance,
+    peer: InstanceEntry,
+    known: StoreMoment,
+    waitMs: number,
+  ): Promise<FollowedFacts> {
+    const request = { ...known, asker: from.self, waitMs, unpacks: true, takesLists: true };
+    const answer = await this.call(
+      from,
+      peer.peerAddress,
+      waitMs + CHANGES_TIMEOUT_MARGIN_MS,
+      (to) => to.answers.changes(request),
+    );
+    const facts = await followedFacts(peer, answer);
+    if (facts.isErr()) throw new StoreCallError(facts.error.kind, facts.error.message);
+    return facts.value;
+  }
+}
+
+/** A fact that tests write to check which instances receive it. */
+export const evacuationFact = (name: string): FactRecord['fact'] => ({
+  kind: 'evacuation',
+  failureDomain: failureDomainName(name),
+});
--- a/packages/gateway/src/peers/__fixtures__/playedStore.ts
+++ b/packages/gateway/src/peers/__fixtures__/simulatedStore.ts
@@ -1,4 +1,4 @@
-/** The store in virtual time: revisions, leases and watches, reached or not by each instance. */
+/** Simulates the store in virtual time: revisions, leases and watches, with per-instance reachability. */
 import type { ResultAsync } from 'neverthrow';
 import { ResultAsync as Results } from 'neverthrow';
 import { Subject } from 'rxjs';
@@ -12,15 +12,15 @@
 import type { StoreEpoch, StoreMoment } from '@cardamomladder/types';
 import { pause, storeEpoch } from '@cardamomladder/types';
 
-/** Way there and back, ms. */
-const ANSWER_MS = 4;
-/** When a call that nothing answers is given up, ms. */
-const SILENCE_MS = 450;
-/** How often leases and watches are looked at, ms. */
-const LOOK_MS = 20;
+/** Round-trip time of a call, ms. */
+const ROUND_TRIP_MS = 4;
+/** Timeout of a call without a response, ms. */
+const CALL_TIMEOUT_MS = 450;
+/** Polling interval of watches, ms. */
+const POLL_INTERVAL_MS = 20;
 
-/** A call that failed; told apart from other errors by its kind. */
-export class FailedCall extends Error {
+/** Failure of a store call; `kind` distinguishes it from other errors. */
+export class StoreCallError extends Error {
   constructor(
     readonly kind: StoreFailure['kind'],
     message: string,
@@ -29,30 +29,30 @@
   }
 }
 
-interface Held {
+interface StoredFact {
   record: FactRecord;
   lease: number;
 }
 
-/** What a copy of the store holds. */
-interface Copy {
+/** Content of a copy of the store. */
+interface Snapshot {
   revision: number;
-  held: [string, Held][];
+  held: [string, StoredFact][];
   changes: FactChange[];
   leases: [number, { ttlMs: number }][];
   leasesGranted: number;
 }
 
-/** The one store of a fleet. */
-export class PlayedStore {
+/** The simulated store of a fleet. */
+export class SimulatedStore {
   epoch: StoreEpoch = storeEpoch(0);
 
   revision = 0;
 
-  /** Calls taken, by kind. */
+  /** Number of calls received, by kind. */
   readonly calls = { list: 0, watch: 0, lease: 0 };
 
-  private held = new Map<string, Held>();
+  private held = new Map<string, StoredFact>();
 
   private changes: FactChange[] = [];
 
@@ -62,7 +62,7 @@
 
   constructor(private readonly now: () => number) {}
 
-  /** Writes a fact, or takes it away. */
+  /** Writes a fact, or removes it if `fact` is undefined. */
   put(key: string, fact: FactRecord['fact'] | undefined, lease = 0): void {
     this.revision += 1;
     const record = fact && { key, revision: this.revision, fact };
@@ -71,13 +71,13 @@
     this.changes.push(record ?? { key, revision: this.revision, removed: true });
   }
 
-  /** The fact under a key, if any. */
+  /** Returns the fact stored under a key, if any. */
   factOf(key: string): FactRecord['fact'] | undefined {
     return this.held.get(key)?.record.fact;
   }
 
-  /** A copy of everything as it stands. */
-  copy(): Copy {
+  /** Copies the current content. */
+  snapshot(): Snapshot {
     return {
       revision: this.revision,
       held: [...this.held],
@@ -87,8 +87,8 @@
     };
   }
 
-  /** Comes back from an older copy: revisions and leases are given out again; leases of the copy run anew. */
-  restore({ revision, held, changes, leases, leasesGranted }: Copy): void {
+  /** Restores an older snapshot: revisions and lease ids are assigned again, and the leases of the snapshot start anew. */
+  restore({ revision, held, changes, leases, leasesGranted }: Snapshot): void {
     this.epoch = storeEpoch(this.epoch + 1);
     this.revision = revision;
     this.held = new Map(held);
@@ -98,32 +98,32 @@
     this.leasesGranted = leasesGranted;
   }
 
-  /** Ends leases that were not renewed. */
+  /** Ends leases that were not renewed in time. */
   expire(): void {
     this.leases.forEach(({ endsAt }, id) => {
       if (endsAt <= this.now()) this.end(id);
     });
   }
 
-  /** The store as one instance reaches it, or does not. */
-  seenBy(reaches: () => boolean): Store {
+  /** Creates the store client of one instance; calls fail while `isReachable` is false. */
+  clientFor(isReachable: () => boolean): Store {
     const epochs = new Subject<StoreEpoch>();
     let latest = this.epoch;
-    const tellEpoch = (): void => {
+    const publishEpoch = (): void => {
       if (this.epoch === latest) return;
       latest = this.epoch;
       epochs.next(latest);
     };
     const call = <T>(answer: () => Promise<T>): ResultAsync<T, StoreFailure> =>
       Results.fromPromise(
-        this.answered(reaches, async () => {
+        this.respond(isReachable, async () => {
           try {
             return await answer();
           } finally {
-            tellEpoch();
+            publishEpoch();
           }
         }),
-        (error) => error as FailedCall,
+        (error) => error as StoreCallError,
       );
     return {
       list: () =>
@@ -132,7 +132,7 @@
           const records = [...this.held.values()].map(({ record }) => record);
           return { records, ...this.moment };
         }),
-      watch: (after, waitMs) => call(() => this.watch(after, waitMs, reaches)),
+      watch: (after, waitMs) => call(() => this.watch(after, waitMs, isReachable)),
       grantLease: (ttlMs) => call(async () => this.grant(ttlMs)),
       renewLease: (id) => call(async () => this.renew(id)),
       endLease: (id) => call(async () => this.end(id)),
@@ -147,25 +147,26 @@
     };
   }
 
-  private async answered<T>(reaches: () => boolean, answer: () => Promise<T>): Promise<T> {
-    await pause(ANSWER_MS);
-    if (reaches()) {
+  private async respond<T>(isReachable: () => boolean, answer: () => Promise<T>): Promise<T> {
+    await pause(ROUND_TRIP_MS);
+    if (isReachable()) {
       const value = await answer();
-      if (reaches()) return value;
+      if (isReachable()) return value;
     }
-    await pause(SILENCE_MS);
-    throw new FailedCall('unavailable', 'cut off');
+    await pause(CALL_TIMEOUT_MS);
+    throw new StoreCallError('unavailable', 'store unreachable');
   }
 
   private get moment(): StoreMoment {
     return { epoch: this.epoch, revision: this.revision };
   }
 
-  private async watch(after: number, waitMs: number, reaches: () => boolean) {
+  private async watch(after: number, waitMs: number, isReachable: () => boolean) {
     this.calls.watch += 1;
     const end = this.now() + waitMs;
-    while (this.revision === after && this.now() < end && reaches()) await pause(LOOK_MS);
-    if (after > this.revision) throw new FailedCall('history-gone', 'no such revision');
+    while (this.revision === after && this.now() < end && isReachable())
+      await pause(POLL_INTERVAL_MS);
+    if (after > this.revision) throw new StoreCallError('history-gone', 'no such revision');
     return {
       changes: this.changes.filter(({ revision }) => revision > after),
       ...this.moment,
@@ -182,12 +183,12 @@
   private renew(id: number): void {
     this.calls.lease += 1;
     const lease = this.leases.get(id);
-    if (!lease) throw new FailedCall('lease-ended', 'no such lease');
+    if (!lease) throw new StoreCallError('lease-ended', 'no such lease');
     lease.endsAt = this.now() + lease.ttlMs;
   }
 
   private register(instance: InstanceEntry, lease: number): StoreMoment {
-    if (!this.leases.has(lease)) throw new FailedCall('lease-ended', 'no such lease');
+    if (!this.leases.has(lease)) throw new StoreCallError('lease-ended', 'no such lease');
     this.put(`instances/${instance.id}`, { kind: 'instance', instance }, lease);
     return this.moment;
   }
--- a/packages/gateway/src/peers/__tests__/ask.test.ts
+++ b/packages/gateway/src/peers/__tests__/ask.test.ts
@@ -1,10 +1,10 @@
-/** Which peers an instance asks that the store turns away. */
+/** Tests of the selection of peers that an instance queries while it cannot reach the store. */
 import { describe, expect, it } from 'vitest';
 import type { InstanceEntry } from '@cardamomladder/fleet';
 import { instanceId, regionName, socketAddress } from '@cardamomladder/types';
-import { peersToAsk } from '../ask';
+import { selectPeers } from '../ask';
 
-/** Rounds within which an instance should have asked outside its region: 1.2 s. */
+/** Number of rounds within which an instance must query outside its region: 1.2 s. */
 const ROUNDS = 4;
 const REGIONS = ['north', 'south', 'east'].map(regionName);
 
@@ -16,16 +16,15 @@
   })) as unknown as InstanceEntry[];
 
 const askedBy = (fleet: readonly InstanceEntry[], self: InstanceEntry): Set<string> =>
-  new Set(Array.from({ length: ROUNDS }, (_, round) => peersToAsk(fleet, self, [], round)).flat());
+  new Set(Array.from({ length: ROUNDS }, (_, round) => selectPeers(fleet, self, [], round)).flat());
 
-describe('an instance that asks peers', () => {
+describe('peer selection', () => {
   it.each([4, 9, 71, 195, 1200])(
-    'of %i asks outside its own region within 1.2 s, and not the same as the others',
+    'in a fleet of %i covers other regions within 1.2 s, and differs between instances',
     (size) => {
-      // Symptom: instances of a region that has lost the store keep what they
-      // believed for 20 s. Sequence: the region's way to the store breaks; each
-      // instance asks its peers. Cause: peers were asked in one order, those of
-      // its own region first, which had lost the store too.
+      // Guards against stale state for 20 s in a region that has lost its
+      // connection to the store: instances queried peers in a fixed order, those
+      // of their own region first, which had lost the store too.
       const fleet = fleetOf(size);
       const regionOf = new Map(fleet.map((each) => [each.peerAddress as string, each.region]));
       const asked = fleet.map((self) => ({ self, addresses: askedBy(fleet, self) }));
@@ -38,9 +37,9 @@
     },
   );
 
-  it('asks nobody when it knows nobody, and those of its settings before it knows any', () => {
+  it('is empty without known peers or seeds, and uses the seeds until a peer is known', () => {
     const [self] = fleetOf(1);
-    expect(peersToAsk([self], self, [], 0)).toEqual([]);
-    expect(peersToAsk([], self, ['seed:1', self.peerAddress], 3)).toEqual(['seed:1']);
+    expect(selectPeers([self], self, [], 0)).toEqual([]);
+    expect(selectPeers([], self, ['seed:1', self.peerAddress], 3)).toEqual(['seed:1']);
   });
 });
--- a/packages/gateway/src/peers/__tests__/membership.test.ts
+++ b/packages/gateway/src/peers/__tests__/membership.test.ts
@@ -1,35 +1,35 @@
 /**
- * Members of a fleet that join, leave, are killed, cut from the store or from
- * everything: once calm they agree on who watches the store, and each learns of
- * a change in time.
+ * Tests fleets whose instances join, leave, are killed, or are partitioned from
+ * the store or from everything: after they settle, all agree on which instances
+ * watch the store, and each receives a change in time.
  */
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { relayCount } from '@cardamomladder/fleet';
 import { failureDomainName } from '@cardamomladder/types';
-import type { Cut, PlayedMember } from '../__fixtures__/playedMembers';
-import { PlayedMembers, evacuationOf } from '../__fixtures__/playedMembers';
-import { PlayedStore } from '../__fixtures__/playedStore';
+import type { Partition, SimulatedInstance } from '../__fixtures__/simulatedFleet';
+import { SimulatedFleet, evacuationFact } from '../__fixtures__/simulatedFleet';
+import { SimulatedStore } from '../__fixtures__/simulatedStore';
 
 vi.mock('node:zlib', async (original) =>
-  (await import('../__fixtures__/zlibAtOnce')).zlibAtOnce(original),
+  (await import('../__fixtures__/synchronousZlib')).synchronousZlib(original),
 );
 
-/** How long after the last disturbance all is calm, ms: entries of killed ones end after 3 s, and a relay that failed is left alone for as long. */
-const CALM_AFTER_MS = 8000;
-/** Within this each live instance knows of a change, ms. */
-const KNOWN_WITHIN_MS = 1500;
-/** Plays of 300 in virtual time take half a minute on a calm machine, and several times as long beside others, ms. */
-const PLAYED_WITHIN_MS = 180_000;
-/** How often leases are looked at and the store is copied, ms. */
-const LOOK_MS = 100;
-/** Copies kept: the oldest is five seconds old. */
-const COPIES = 50;
-
-/** One disturbance: which instance, what happens, and the pause after it, ms. */
+/** Time after the last disturbance until the fleet has settled, ms: entries of killed instances expire after 3 s, and a failed relay is not used for as long. */
+const SETTLE_MS = 8000;
+/** Time within which each live instance must receive a change, ms. */
+const PROPAGATION_DEADLINE_MS = 1500;
+/** Test timeout, ms: simulating 300 instances takes half a minute on an idle machine and several times as long on a busy one. */
+const TEST_TIMEOUT_MS = 180_000;
+/** Interval of lease expiry and store snapshots, ms. */
+const TICK_INTERVAL_MS = 100;
+/** Number of snapshots kept: the oldest is five seconds old. */
+const SNAPSHOTS_KEPT = 50;
+
+/** One disturbance: the instance, the event, and the pause after it in ms. */
 interface Disturbance {
   which: number;
-  what: 'join' | 'stopped' | 'killed' | 'restored' | Cut;
+  what: 'join' | 'stopped' | 'killed' | 'restored' | Partition;
   thenMs: number;
 }
 
@@ -39,42 +39,42 @@
   thenMs: fc.integer({ min: 0, max: 1500 }),
 });
 
-let store: PlayedStore;
-let members: PlayedMembers;
-let copies: ReturnType<PlayedStore['copy']>[];
-let looking: NodeJS.Timeout;
+let store: SimulatedStore;
+let fleet: SimulatedFleet;
+let snapshots: ReturnType<SimulatedStore['snapshot']>[];
+let tickTimer: NodeJS.Timeout;
 
 const disturb = ({ which, what }: Disturbance): void => {
-  const all = [...members.live.values()];
+  const all = [...fleet.live.values()];
   const member = all[which % all.length];
-  if (what === 'restored') store.restore(copies[which % copies.length]);
-  else if (what === 'join') members.join();
-  else if (what === 'none' || what === 'store' || what === 'all') member.cut = what;
-  else if (all.length > 1) members.end(member, what);
+  if (what === 'restored') store.restore(snapshots[which % snapshots.length]);
+  else if (what === 'join') fleet.join();
+  else if (what === 'none' || what === 'store' || what === 'all') member.partition = what;
+  else if (all.length > 1) fleet.terminate(member, what);
 };
 
-const play = async (
+const simulate = async (
   size: number,
   disturbances: readonly Disturbance[],
-): Promise<PlayedMember[]> => {
-  for (let i = 0; i < size; i += 1) members.join();
-  await vi.advanceTimersByTimeAsync(CALM_AFTER_MS);
+): Promise<SimulatedInstance[]> => {
+  for (let i = 0; i < size; i += 1) fleet.join();
+  await vi.advanceTimersByTimeAsync(SETTLE_MS);
   for (const each of disturbances) {
     disturb(each);
     await vi.advanceTimersByTimeAsync(each.thenMs);
   }
-  members.live.forEach((member) => {
-    Object.assign(member, { cut: 'none' });
+  fleet.live.forEach((member) => {
+    Object.assign(member, { partition: 'none' });
   });
-  await vi.advanceTimersByTimeAsync(CALM_AFTER_MS);
-  return [...members.live.values()];
+  await vi.advanceTimersByTimeAsync(SETTLE_MS);
+  return [...fleet.live.values()];
 };
 
-const watchesItself = ({ follower }: PlayedMember): boolean =>
+const watchesItself = ({ follower }: SimulatedInstance): boolean =>
   follower.status.value.reached && follower.status.value.through === undefined;
 
-/** Who watches the store per region, and whom the others follow. */
-const expectAgreement = (live: readonly PlayedMember[]): void => {
+/** Checks which instances watch the store in each region, and which ones the others follow. */
+const expectAgreement = (live: readonly SimulatedInstance[]): void => {
   const watching = live.filter(watchesItself).map(({ self }) => self);
   live.forEach(({ follower, self }) => {
     const { reached, through } = follower.status.value;
@@ -90,52 +90,55 @@
   expect(watching.length).toBe(agreed);
 };
 
-const expectSameFleet = (live: readonly PlayedMember[]): void => {
+const expectSameFleet = (live: readonly SimulatedInstance[]): void => {
   const ids = live.map(({ self }) => self.id).sort();
   live.forEach(({ beliefs }) => expect([...beliefs.instances.keys()].sort()).toEqual(ids));
 };
 
-const expectNewsInTime = async (live: readonly PlayedMember[]): Promise<void> => {
-  store.put('evacuations/west', evacuationOf('west'));
-  await vi.advanceTimersByTimeAsync(KNOWN_WITHIN_MS);
+const expectTimelyPropagation = async (live: readonly SimulatedInstance[]): Promise<void> => {
+  store.put('evacuations/west', evacuationFact('west'));
+  await vi.advanceTimersByTimeAsync(PROPAGATION_DEADLINE_MS);
   const west = failureDomainName('west');
   expect(live.filter(({ beliefs }) => !beliefs.evacuated.has(west))).toEqual([]);
 };
 
 const start = (): void => {
   vi.useFakeTimers();
-  store = new PlayedStore(() => performance.now());
-  members = new PlayedMembers(store, () => 0.5);
-  copies = [store.copy()];
-  looking = setInterval(() => {
+  store = new SimulatedStore(() => performance.now());
+  fleet = new SimulatedFleet(store, () => 0.5);
+  snapshots = [store.snapshot()];
+  tickTimer = setInterval(() => {
     store.expire();
-    copies = [...copies, store.copy()].slice(-COPIES);
-  }, LOOK_MS);
+    snapshots = [...snapshots, store.snapshot()].slice(-SNAPSHOTS_KEPT);
+  }, TICK_INTERVAL_MS);
 };
 const finish = (): void => {
-  members.live.forEach((member) => members.end(member, 'killed'));
-  clearInterval(looking);
+  fleet.live.forEach((member) => fleet.terminate(member, 'killed'));
+  clearInterval(tickTimer);
   vi.useRealTimers();
 };
 
 beforeEach(start);
 afterEach(finish);
 
-const playAndCheck = async (size: number, disturbances: readonly Disturbance[]): Promise<void> => {
-  const live = await play(size, disturbances);
+const simulateAndCheck = async (
+  size: number,
+  disturbances: readonly Disturbance[],
+): Promise<void> => {
+  const live = await simulate(size, disturbances);
   expectAgreement(live);
   expectSameFleet(live);
-  await expectNewsInTime(live);
+  await expectTimelyPropagation(live);
 };
 
-describe('members of a fleet, once calm', () => {
-  it('agree on who watches the store, after whatever came before', async () => {
+describe('instances of a settled fleet', () => {
+  it('agree on which of them watch the store after any sequence of disturbances', async () => {
     await fc.assert(
       fc
         .asyncProperty(
           fc.integer({ min: 1, max: 40 }),
           fc.array(disturbance, { maxLength: 12 }),
-          playAndCheck,
+          simulateAndCheck,
         )
         .beforeEach(start)
         .afterEach(finish),
@@ -143,44 +146,44 @@
     );
   }, 60_000);
 
-  // Guards against members that follow revisions of before, or lose those whose entries the store has lost.
+  // Guards against instances that follow revisions from before the restore, or that drop instances whose entries the store has lost.
   it.each([1, 9, 40, 300])(
-    'agree among %i after the store came back from older copies, in series',
+    'agree among %i after the store was repeatedly restored from older copies',
     async (size) => {
-      const drills = [0, 20, 49, 5].map((which): Disturbance => ({
+      const restores = [0, 20, 49, 5].map((which): Disturbance => ({
         which,
         what: 'restored',
         thenMs: 700,
       }));
       const killed = { which: 0, what: 'killed', thenMs: 300 } as const;
       const others: Disturbance[] = size === 1 ? [] : [killed, { ...killed, what: 'store' }];
-      await playAndCheck(size, [{ ...killed, what: 'join' }, ...others, ...drills]);
+      await simulateAndCheck(size, [{ ...killed, what: 'join' }, ...others, ...restores]);
     },
-    PLAYED_WITHIN_MS,
+    TEST_TIMEOUT_MS,
   );
 
   it.each([100, 300])(
-    'agree among %i that start together and lose half',
+    'agree among %i that start together and then lose half',
     async (size) => {
       const half = Array.from({ length: size / 2 }, (_, i): Disturbance => ({
         which: i,
         what: i % 2 === 0 ? 'killed' : 'stopped',
         thenMs: 5,
       }));
-      await playAndCheck(size, half);
+      await simulateAndCheck(size, half);
     },
     60_000,
   );
 
-  it.each([500, 3000])('take %i changes at once from those that watch the store', async (count) => {
-    // Symptom: the store gets six calls of a whole list from each instance of a
-    // region at once. Sequence: a region of 1,500 targets loses power and is
-    // back; its entries go and come within a second. Cause: a relay keeps
-    // fewer changes than that, and tells those that follow to list.
-    const live = await play(30, []);
+  it.each([500, 3000])('receive %i simultaneous changes through the relays', async (count) => {
+    // Guards against six full list calls to the store from each instance of a
+    // region at once: when a region of 1,500 targets loses power and returns, its
+    // entries are removed and added within a second, a relay retains fewer changes
+    // than that, and it told its followers to list from the store.
+    const live = await simulate(30, []);
     const { list, watch } = store.calls;
-    for (let i = 0; i < count; i += 1) store.put(`evacuations/d-${i}`, evacuationOf(`d-${i}`));
-    await vi.advanceTimersByTimeAsync(KNOWN_WITHIN_MS);
+    for (let i = 0; i < count; i += 1) store.put(`evacuations/d-${i}`, evacuationFact(`d-${i}`));
+    await vi.advanceTimersByTimeAsync(PROPAGATION_DEADLINE_MS);
     const known = live.map(({ beliefs }) => beliefs.evacuated.size);
     expect(known).toEqual(live.map(() => count));
     expect(store.calls.watch - watch).toBeLessThanOrEqual(10);
--- a/packages/gateway/src/peers/__tests__/reportSpread.test.ts
+++ b/packages/gateway/src/peers/__tests__/reportSpread.test.ts
@@ -1,4 +1,4 @@
-/** How soon all instances know of a crash while none of them reaches the store. */
+/** Tests how fast crash reports reach all instances while none of them reaches the store. */
 import { okAsync } from 'neverthrow';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { InstanceEntry, ReportMark } from '@cardamomladder/fleet';
@@ -13,13 +13,13 @@
   targetId,
   targetRun,
 } from '@cardamomladder/types';
-import { peersToAsk } from '../ask';
-import { reportQuestion } from '../reportFormat';
+import { selectPeers } from '../ask';
+import { reportsRequest } from '../reportFormat';
 
-/** Between two rounds of questions, ms. */
+/** Interval between two rounds of queries, ms. */
 const ROUND_MS = 300;
-/** How soon a request must be held everywhere after its third crash, ms. */
-const KNOWN_WITHIN_MS = 4000;
+/** Time within which a request must be quarantined everywhere after its third crash, ms. */
+const PROPAGATION_DEADLINE_MS = 4000;
 const REGIONS = ['north', 'south', 'east'].map(regionName);
 const CRASHING = { request: requestDigest('crashing'), caller: callerDigest('caller') };
 
@@ -27,9 +27,9 @@
   self: InstanceEntry;
   quarantine: Quarantine;
   reports: CrashReports;
-  /** Up to where this one knows each other's, and they know this one's. */
-  heard: Map<string, ReportMark>;
-  told: Map<string, ReportMark>;
+  /** By peer: the mark up to which this instance has the peer's reports, and the reverse. */
+  receivedMarks: Map<string, ReportMark>;
+  sentMarks: Map<string, ReportMark>;
   asked: number;
 }
 
@@ -38,7 +38,7 @@
   const quarantine = new Quarantine(now);
   let ids = 0;
   const reports = new CrashReports({
-    // The store is away: what it is asked is under way for ever.
+    // The store is unreachable: its calls never complete.
     store: {
       fileReport: () => okAsync(undefined).andThen(() => new Promise<never>(() => {}) as never),
       reportKey: (id) => `crashes/${id}`,
@@ -62,28 +62,28 @@
     peerAddress: `i-${number}`,
     region: REGIONS[number % REGIONS.length],
   } as unknown as InstanceEntry;
-  return { self, quarantine, reports, heard: new Map(), told: new Map(), asked: 0 };
+  return { self, quarantine, reports, receivedMarks: new Map(), sentMarks: new Map(), asked: 0 };
 };
 
 const exchange = (asker: Member, peer: Member): void => {
   const name = peer.self.peerAddress;
-  const mine = asker.reports.after(asker.told.get(name));
-  const theirs = peer.reports.after(asker.heard.get(name));
-  if (mine.reports.length === 0 && theirs.reports.length === 0) return;
-  const question = reportQuestion.parse(JSON.parse(JSON.stringify({ reports: mine.reports })));
-  peer.reports.hear(question.reports, false);
+  const own = asker.reports.after(asker.sentMarks.get(name));
+  const theirs = peer.reports.after(asker.receivedMarks.get(name));
+  if (own.reports.length === 0 && theirs.reports.length === 0) return;
+  const request = reportsRequest.parse(JSON.parse(JSON.stringify({ reports: own.reports })));
+  peer.reports.hear(request.reports, false);
   asker.reports.hear(theirs.reports, false);
-  asker.told.set(name, mine.mark);
-  asker.heard.set(name, theirs.mark);
+  asker.sentMarks.set(name, own.mark);
+  asker.receivedMarks.set(name, theirs.mark);
   Object.assign(asker, { asked: asker.asked + 1 });
 };
 
-/** One round: each instance asks its two peers. */
-const playRound = async (members: readonly Member[], round: number): Promise<void> => {
+/** Runs one round, in which each instance queries its two peers. */
+const runRound = async (members: readonly Member[], round: number): Promise<void> => {
   const byName = new Map(members.map((member) => [member.self.peerAddress as string, member]));
   const entries = members.map(({ self }) => self);
   members.forEach((asker) =>
-    peersToAsk(entries, asker.self, [], round).forEach((address) =>
+    selectPeers(entries, asker.self, [], round).forEach((address) =>
       exchange(asker, byName.get(address) as Member),
     ),
   );
@@ -99,38 +99,38 @@
   vi.useRealTimers();
 });
 
-describe('reports of crashes among instances that the store turns away', () => {
-  it.each([1, 9, 71, 195])('are known to all %i within the time allowed', async (size) => {
-    // Symptom: with the store away each instance lets a request crash three
-    // targets. Sequence: it comes at one instance, then at the next. Cause:
-    // what one had seen waited for the store.
+describe('crash reports among instances that cannot reach the store', () => {
+  it.each([1, 9, 71, 195])('reach all %i instances within the allowed time', async (size) => {
+    // Guards against a request that crashes three targets per instance while the
+    // store is unreachable: it arrived at one instance after another, and the
+    // reports of each were held back until the store returned.
     const members = Array.from({ length: size }, (_, number) => memberOf(number));
-    const seers = [0, 1, 2].map((nth) => members[Math.floor((nth * size) / 3)]);
-    seers.forEach(({ reports }, nth) =>
+    const witnesses = [0, 1, 2].map((nth) => members[Math.floor((nth * size) / 3)]);
+    witnesses.forEach(({ reports }, nth) =>
       reports.crashed({ run: targetRun(targetId(`t-${nth}`), nth), requests: [CRASHING] }),
     );
     await vi.advanceTimersByTimeAsync(ROUND_MS);
     let rounds = 0;
     while (!members.every(holds) && rounds < 60) {
-      await playRound(members, rounds);
+      await runRound(members, rounds);
       rounds += 1;
     }
-    expect(rounds * ROUND_MS).toBeLessThanOrEqual(KNOWN_WITHIN_MS);
-    // Once all know, nothing is left to exchange but with those not asked yet.
+    expect(rounds * ROUND_MS).toBeLessThanOrEqual(PROPAGATION_DEADLINE_MS);
+    // Once all instances have the reports, only peers not queried before still exchange anything.
     const most = Math.max(...members.map(({ asked }) => asked));
     expect(most).toBeLessThanOrEqual(2 * rounds);
     members.forEach(({ reports }) => reports.stop());
   });
 
-  it('are refused when they are too many or not whole', () => {
+  it('are rejected if there are too many or a field is missing or invalid', () => {
     const report = { crashes: [], answered: [] };
     const named = (count: number) =>
       Array.from({ length: count }, (_, i) => ({ id: `r-${i}`, ageMs: 0, report }));
-    expect(reportQuestion.safeParse({ reports: named(20) }).success).toBe(true);
-    expect(reportQuestion.safeParse({ reports: named(21) }).success).toBe(false);
-    expect(reportQuestion.safeParse({ reports: [{ id: 'r', ageMs: 0 }] }).success).toBe(false);
+    expect(reportsRequest.safeParse({ reports: named(20) }).success).toBe(true);
+    expect(reportsRequest.safeParse({ reports: named(21) }).success).toBe(false);
+    expect(reportsRequest.safeParse({ reports: [{ id: 'r', ageMs: 0 }] }).success).toBe(false);
     expect(
-      reportQuestion.safeParse({ reports: named(1).map((r) => ({ ...r, ageMs: -1 })) }).success,
+      reportsRequest.safeParse({ reports: named(1).map((r) => ({ ...r, ageMs: -1 })) }).success,
     ).toBe(false);
   });
 });
--- a/packages/gateway/src/peers/__tests__/restoredStore.test.ts
+++ b/packages/gateway/src/peers/__tests__/restoredStore.test.ts
@@ -1,6 +1,7 @@
 /**
- * What members of a fleet believe while the store comes back from older copies:
- * news in time, and nothing turned back, whatever the revisions are by then.
+ * Tests the state that instances hold while the store is restored from older
+ * copies: they receive new facts in time and revert to no earlier state,
+ * whatever the store's revisions are afterwards.
  */
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
@@ -13,35 +14,35 @@
   socketAddress,
   targetId,
 } from '@cardamomladder/types';
-import type { PlayedMember } from '../__fixtures__/playedMembers';
-import { PlayedMembers, evacuationOf } from '../__fixtures__/playedMembers';
-import { PlayedStore } from '../__fixtures__/playedStore';
+import type { SimulatedInstance } from '../__fixtures__/simulatedFleet';
+import { SimulatedFleet, evacuationFact } from '../__fixtures__/simulatedFleet';
+import { SimulatedStore } from '../__fixtures__/simulatedStore';
 
 vi.mock('node:zlib', async (original) =>
-  (await import('../__fixtures__/zlibAtOnce')).zlibAtOnce(original),
+  (await import('../__fixtures__/synchronousZlib')).synchronousZlib(original),
 );
 
-/** A fleet has registered and found its relays by then, ms. */
-const SETTLED_MS = 6000;
-/** Within this of the store's answers the news is known, ms: the time allowed, less a second for requests that are under way. */
-const KNOWN_WITHIN_MS = 1500;
-/** When operators and targets write what was lost again, ms after the store's return. */
-const WRITTEN_AGAIN_MS = 1500;
-const LOOK_MS = 50;
+/** Time within which a fleet has registered and selected its relays, ms. */
+const SETTLE_MS = 6000;
+/** Time within which new facts must be known once the store responds again, ms: the allowed time minus one second for requests in progress. */
+const PROPAGATION_DEADLINE_MS = 1500;
+/** Delay after the restore until operators and targets write lost facts again, ms. */
+const REWRITE_DELAY_MS = 1500;
+const CHECK_INTERVAL_MS = 50;
 
 const WEST = failureDomainName('west');
 
-/** One return of the store from an older copy. */
-interface Drill {
-  /** How old the copy is, ms. */
+/** One restore of the store from an older copy. */
+interface RestoreScenario {
+  /** Age of the copy when the store becomes unreachable, ms. */
   lostMs: number;
   awayMs: number;
-  /** By how much the store's revision, as instances next see it, differs from that which they followed. */
+  /** Difference between the store's revision after the restore and the one that instances followed before. */
   offset: number;
-  /** From the store's return to the next drill, ms. */
+  /** Time from the restore to the next scenario, ms. */
   thenMs: number;
-  /** The store turns one member away from then on, which has its peers only. */
-  turnsAway: boolean;
+  /** From the restore on, one instance cannot reach the store and depends on its peers. */
+  storeRefusesOne: boolean;
 }
 
 const configurationOf = (version: number): FactRecord['fact'] => ({
@@ -62,10 +63,10 @@
   },
 });
 
-let store: PlayedStore;
-let members: PlayedMembers;
-let looking: NodeJS.Timeout;
-/** What operators and targets have written last, by key; undefined: removed. */
+let store: SimulatedStore;
+let fleet: SimulatedFleet;
+let expiryTimer: NodeJS.Timeout;
+/** Latest values written by operators and targets, by key; undefined if removed. */
 let written: Map<string, FactRecord['fact'] | undefined>;
 let version: number;
 
@@ -73,144 +74,152 @@
   written.set(key, fact);
   store.put(key, fact);
 };
-const configure = (): void => {
+const writeConfiguration = (): void => {
   version += 1;
   write('configuration', configurationOf(version));
 };
-const fill = (count: number): void => {
-  for (let i = 0; i < count; i += 1) store.put('other', evacuationOf('nowhere'));
+const writeFiller = (count: number): void => {
+  for (let i = 0; i < count; i += 1) store.put('other', evacuationFact('nowhere'));
 };
 
-/** What a member must not forget. */
-interface Witnessed {
+/** State of an instance that must not revert. */
+interface ObservedState {
   version: number;
   leaving: Set<string>;
   gone: Set<string>;
 }
-const factOf = ({ beliefs }: PlayedMember, key: string) => beliefs.factOf(key);
-const isLeaving = (member: PlayedMember, id: string): boolean => {
+const factOf = ({ beliefs }: SimulatedInstance, key: string) => beliefs.factOf(key);
+const isLeaving = (member: SimulatedInstance, id: string): boolean => {
   const fact = factOf(member, `targets/${id}`);
   return fact?.kind === 'target' && fact.target.leaving;
 };
-/** Members that have held the target that goes: only they can know that it went. */
-let heldIt: Set<PlayedMember>;
-const sawItGo = (member: PlayedMember): boolean => heldIt.has(member);
+/** Instances that have known the removed target: only they can know of its removal. */
+let knewRemovedTarget: Set<SimulatedInstance>;
+const canNoticeRemoval = (member: SimulatedInstance): boolean => knewRemovedTarget.has(member);
 const TARGETS = ['stays', 'leaves', 'goes', 'comes', 'news'];
-const witness = (member: PlayedMember): Witnessed => ({
+const observe = (member: SimulatedInstance): ObservedState => ({
   version: member.beliefs.configuration?.version ?? 0,
   leaving: new Set(TARGETS.filter((id) => isLeaving(member, id))),
   gone: new Set(TARGETS.filter((id) => !factOf(member, `targets/${id}`))),
 });
-/** Compares what a member believes with what it did a moment ago. */
-const turnedBack = (member: PlayedMember, before: Witnessed): string[] => {
-  const now = witness(member);
+/** Compares an instance's state with its previous one and returns what reverted. */
+const regressions = (member: SimulatedInstance, before: ObservedState): string[] => {
+  const now = observe(member);
   return [
     ...(now.version < before.version ? [`configuration ${now.version}`] : []),
     ...[...before.leaving].filter((id) => !now.leaving.has(id) && !now.gone.has(id)),
-    ...(before.gone.has('goes') && !now.gone.has('goes') && sawItGo(member) ? ['goes'] : []),
+    ...(before.gone.has('goes') && !now.gone.has('goes') && canNoticeRemoval(member)
+      ? ['goes']
+      : []),
     ...(!before.gone.has('stays') && now.gone.has('stays') ? ['stays'] : []),
     ...(!before.gone.has('comes') && now.gone.has('comes') ? ['comes'] : []),
   ];
 };
 
-const noteHeld = (member: PlayedMember): void => {
-  if (factOf(member, 'targets/goes')) heldIt.add(member);
+const recordKnown = (member: SimulatedInstance): void => {
+  if (factOf(member, 'targets/goes')) knewRemovedTarget.add(member);
 };
 
-/** Passes time; what any member turned back meanwhile. */
-const pass = async (ms: number): Promise<string[]> => {
+/** Advances the clock and returns the regressions of all instances. */
+const advance = async (ms: number): Promise<string[]> => {
   const found: string[] = [];
-  for (let at = 0; at < ms; at += LOOK_MS) {
-    const informed = [...members.live.values()].filter(({ beliefs }) => beliefs.revision > 0);
-    informed.forEach(noteHeld);
-    const before = new Map(informed.map((each) => [each, witness(each)]));
-    await vi.advanceTimersByTimeAsync(Math.min(LOOK_MS, ms - at));
+  for (let at = 0; at < ms; at += CHECK_INTERVAL_MS) {
+    const informed = [...fleet.live.values()].filter(({ beliefs }) => beliefs.revision > 0);
+    informed.forEach(recordKnown);
+    const before = new Map(informed.map((each) => [each, observe(each)]));
+    await vi.advanceTimersByTimeAsync(Math.min(CHECK_INTERVAL_MS, ms - at));
     before.forEach((known, member) =>
-      found.push(...turnedBack(member, known).map((what) => `${member.self.id}: ${what}`)),
+      found.push(...regressions(member, known).map((what) => `${member.self.id}: ${what}`)),
     );
   }
   return found;
 };
-const cutAll = (cut: PlayedMember['cut']): void =>
-  members.live.forEach((member) => {
-    Object.assign(member, { cut });
+const partitionAll = (partition: SimulatedInstance['partition']): void =>
+  fleet.live.forEach((member) => {
+    Object.assign(member, { partition });
   });
 
-const turnAwayOne = (): void => {
-  const [first, ...others] = members.live.values();
+const refuseOne = (): void => {
+  const [first, ...others] = fleet.live.values();
   const knowsPeers = others.some(({ self }) => first.beliefs.instances.has(self.id));
-  if (knowsPeers) Object.assign(first, { cut: 'store' });
+  if (knowsPeers) Object.assign(first, { partition: 'store' });
 };
 
-const writeAgain = (): void =>
+const rewrite = (): void =>
   written.forEach((fact, key) => {
     if (store.factOf(key) !== fact) store.put(key, fact);
   });
 
-/** The changes of some seconds are lost; news comes with the store's return. */
-const drill = async ({ lostMs, awayMs, offset, thenMs, turnsAway }: Drill): Promise<string[]> => {
-  const copy = store.copy();
-  configure();
+/** Restores the store from a copy, so that recent changes are lost, and writes new facts right after the restore. */
+const runScenario = async ({
+  lostMs,
+  awayMs,
+  offset,
+  thenMs,
+  storeRefusesOne,
+}: RestoreScenario): Promise<string[]> => {
+  const snapshot = store.snapshot();
+  writeConfiguration();
   write('targets/leaves', targetOf('leaves', true, 9));
   write('targets/goes', undefined);
   write('targets/comes', targetOf('comes', false, 1));
-  write('evacuations/west', evacuationOf('west'));
-  fill(4);
-  const found = await pass(lostMs);
+  write('evacuations/west', evacuationFact('west'));
+  writeFiller(4);
+  const found = await advance(lostMs);
   const followed = store.revision;
-  cutAll('store');
-  found.push(...(await pass(awayMs)));
-  store.restore(copy);
-  configure();
+  partitionAll('store');
+  found.push(...(await advance(awayMs)));
+  store.restore(snapshot);
+  writeConfiguration();
   write('targets/news', targetOf('news', true, 5 + version));
-  fill(followed + offset - store.revision);
-  setTimeout(writeAgain, WRITTEN_AGAIN_MS);
-  cutAll('none');
-  if (turnsAway) turnAwayOne();
-  members.join();
-  return [...found, ...(await pass(thenMs))];
+  writeFiller(followed + offset - store.revision);
+  setTimeout(rewrite, REWRITE_DELAY_MS);
+  partitionAll('none');
+  if (storeRefusesOne) refuseOne();
+  fleet.join();
+  return [...found, ...(await advance(thenMs))];
 };
 
 const start = (): void => {
   vi.useFakeTimers();
-  store = new PlayedStore(() => performance.now());
-  members = new PlayedMembers(store, () => 0.5);
+  store = new SimulatedStore(() => performance.now());
+  fleet = new SimulatedFleet(store, () => 0.5);
   written = new Map();
-  heldIt = new Set();
+  knewRemovedTarget = new Set();
   version = 0;
-  looking = setInterval(() => store.expire(), LOOK_MS);
-  configure();
+  expiryTimer = setInterval(() => store.expire(), CHECK_INTERVAL_MS);
+  writeConfiguration();
   TARGETS.filter((id) => id !== 'comes').forEach((id) =>
     write(`targets/${id}`, targetOf(id, false, 1)),
   );
 };
 const finish = (): void => {
-  members.live.forEach((member) => members.end(member, 'killed'));
-  clearInterval(looking);
+  fleet.live.forEach((member) => fleet.terminate(member, 'killed'));
+  clearInterval(expiryTimer);
   vi.useRealTimers();
 };
 
 beforeEach(start);
 afterEach(finish);
 
-const expectNews = (): void =>
-  members.live.forEach((member) => {
+const expectLatestFacts = (): void =>
+  fleet.live.forEach((member) => {
     expect(`${member.self.id}: ${member.beliefs.configuration?.version}`).toBe(
       `${member.self.id}: ${version}`,
     );
     expect(isLeaving(member, 'news')).toBe(true);
   });
 
-const play = async (size: number, drills: readonly Drill[]): Promise<void> => {
-  for (let i = 0; i < size; i += 1) members.join();
-  await vi.advanceTimersByTimeAsync(SETTLED_MS);
+const simulate = async (size: number, scenarios: readonly RestoreScenario[]): Promise<void> => {
+  for (let i = 0; i < size; i += 1) fleet.join();
+  await vi.advanceTimersByTimeAsync(SETTLE_MS);
   const found: string[] = [];
-  for (const each of drills) found.push(...(await drill(each)));
-  found.push(...(await pass(KNOWN_WITHIN_MS)));
-  expectNews();
-  found.push(...(await pass(WRITTEN_AGAIN_MS + KNOWN_WITHIN_MS)));
+  for (const each of scenarios) found.push(...(await runScenario(each)));
+  found.push(...(await advance(PROPAGATION_DEADLINE_MS)));
+  expectLatestFacts();
+  found.push(...(await advance(REWRITE_DELAY_MS + PROPAGATION_DEADLINE_MS)));
   expect(found).toEqual([]);
-  members.live.forEach((member) => {
+  fleet.live.forEach((member) => {
     expect(member.beliefs.evacuated.has(WEST)).toBe(true);
     expect(isLeaving(member, 'leaves')).toBe(true);
     expect(factOf(member, 'targets/goes')).toBeUndefined();
@@ -218,23 +227,23 @@
   });
 };
 
-const drills = fc.array(
+const scenarios = fc.array(
   fc.record({
     lostMs: fc.integer({ min: 0, max: 3000 }),
     awayMs: fc.integer({ min: 0, max: 2500 }),
     offset: fc.integer({ min: -6, max: 8 }),
     thenMs: fc.integer({ min: 0, max: 2500 }),
-    turnsAway: fc.boolean(),
+    storeRefusesOne: fc.boolean(),
   }),
   { minLength: 1, maxLength: 3 },
 );
 
-describe('members of a fleet whose store comes back from older copies', () => {
-  // Guards against news missed and states turned back, by the store's revisions of before.
-  it('hear of news in time and turn nothing back', async () => {
+describe('instances of a fleet whose store is restored from older copies', () => {
+  // Guards against missed facts and reverted states caused by revisions from before the restore.
+  it('receive new facts in time and revert no state', async () => {
     await fc.assert(
       fc
-        .asyncProperty(fc.integer({ min: 1, max: 30 }), drills, play)
+        .asyncProperty(fc.integer({ min: 1, max: 30 }), scenarios, simulate)
         .beforeEach(start)
         .afterEach(finish),
       { numRuns: 25, seed: 33 },
--- a/packages/gateway/src/peers/ask.ts
+++ b/packages/gateway/src/peers/ask.ts
@@ -1,7 +1,8 @@
 /**
- * Asks a few peers for the facts they hold: one near and another in turn, so
- * that a failure domain cut off as a whole is not asked only inside. A fresh
- * instance asks one that its settings name.
+ * Queries a few peers for the facts they hold: one nearby and one that rotates
+ * through the fleet, so that an instance in a partitioned failure domain does
+ * not only query peers inside it. A new instance queries a seed peer from its
+ * settings.
  */
 import type {
   InstanceEntry,
@@ -16,59 +17,62 @@
 import { peerClient } from './client';
 import type { ReportExchange } from './reportExchange';
 
-/** Peers asked at a time: one near, one in turn. */
-const PEERS_ASKED = 2;
-/** The step from one peer in turn to the next, as a part of all: any few steps in a row are spread evenly over them. */
-const GOLDEN_SECTION = (Math.sqrt(5) - 1) / 2;
-/** How long a peer may take to answer, ms: over two ways between any regions. */
-const PEER_TIMEOUT_MS = 400;
-/** How long a peer may take to hand all facts to a fresh instance, ms: 30 kB of them to dozens at once over a link of 20 Mbit/s. */
+/** Peers queried per round: one nearby and one in rotation. */
+const MAX_PEERS_PER_ROUND = 2;
+/** Step of the rotation as a fraction of all peers: any few consecutive steps are spread evenly over the fleet. */
+const GOLDEN_RATIO_CONJUGATE = (Math.sqrt(5) - 1) / 2;
+/** Timeout of a facts query, ms: more than two trips between any two regions. */
+const FACTS_TIMEOUT_MS = 400;
+/** Timeout for the full list of facts that a new instance requests, ms: 30 kB sent to dozens of instances at once over a 20 Mbit/s link. */
 const SNAPSHOT_TIMEOUT_MS = 800;
 
-const NOTHING_KNOWN: StoreMoment = { epoch: storeEpoch(0), revision: 0 };
+const NO_KNOWN_MOMENT: StoreMoment = { epoch: storeEpoch(0), revision: 0 };
 
-/** What asking needs of the instance. */
-export interface AskOptions {
-  /** The instances known by their entry or their own word: one that started beside a peer while the store turned it away has read no entry of it. */
+/** Dependencies of the peer queries. */
+export interface PeerQueryOptions {
+  /** Instances known from registry entries or seen directly: an instance that started next to a peer but could not reach the store has not read that peer's entry. */
   peers: () => InstanceEntry[];
   self: InstanceEntry;
-  /** Peer addresses from the settings, for an instance that knows no peer yet. */
+  /** Peer addresses from the settings, used while no peer is known. */
   seeds: readonly string[];
-  /** This instance's entry while it takes callers. */
-  vouchFor: () => InstanceEntry | null;
+  /** This instance's entry while it accepts callers. */
+  ownServingEntry: () => InstanceEntry | null;
   exchangeReports: ReportExchange;
   log: DecisionLog;
 }
 
-/** A place between 0 and 1 that differs between most ids. */
-const placeOf = (id: string): number =>
-  [...id].reduce((place, character) => (place * 31 + character.charCodeAt(0)) % 1009, 7) / 1009;
+/** Hashes an id to a fraction in [0, 1). */
+const hashToFraction = (id: string): number =>
+  [...id].reduce((hash, character) => (hash * 31 + character.charCodeAt(0)) % 1009, 7) / 1009;
 
 /**
- * Addresses of the peers to ask in the given round. The one in turn is far from
- * the last one, and another for each asker: with all asking the same, one place
- * further each round, a large fleet would long ask nobody outside its own region.
+ * Returns the addresses of the peers to query in the given round. The rotating
+ * peer is far from the previous one and differs between instances: if all
+ * instances queried the same one and advanced by one place per round, a large
+ * fleet would for a long time query nobody outside its own region.
  */
-export const peersToAsk = (
+export const selectPeers = (
   peers: readonly InstanceEntry[],
   self: InstanceEntry,
   seeds: readonly string[],
   round: number,
 ): string[] => {
   const others = peers.filter((p) => p.id !== self.id);
-  const far = (p: InstanceEntry) => (p.region === self.region ? 0 : 1);
-  const ordered = [...others].sort((a, b) => far(a) - far(b)).map((p) => p.peerAddress as string);
+  const distance = (p: InstanceEntry) => (p.region === self.region ? 0 : 1);
+  const ordered = [...others]
+    .sort((a, b) => distance(a) - distance(b))
+    .map((p) => p.peerAddress as string);
   const addresses = ordered.length > 0 ? ordered : seeds.filter((s) => s !== self.peerAddress);
   if (addresses.length === 0) return [];
-  const near = addresses[round % Math.min(2, addresses.length)];
-  const place = (placeOf(self.id) + round * GOLDEN_SECTION) % 1;
-  const inTurn = addresses[Math.floor(place * addresses.length)];
-  return [...new Set([near, inTurn])].slice(0, PEERS_ASKED);
+  const nearby = addresses[round % Math.min(2, addresses.length)];
+  const position = (hashToFraction(self.id) + round * GOLDEN_RATIO_CONJUGATE) % 1;
+  const rotating = addresses[Math.floor(position * addresses.length)];
+  return [...new Set([nearby, rotating])].slice(0, MAX_PEERS_PER_ROUND);
 };
 
-/** Asks one peer; undefined, and a line in the log, when it has no usable answer. */
-const askOne = async (
-  { vouchFor, exchangeReports, log }: AskOptions,
+/** Queries one peer; logs the failure and returns undefined if there is no usable response. */
+const queryPeer = async (
+  { ownServingEntry, exchangeReports, log }: PeerQueryOptions,
   address: string,
   known: StoreMoment,
   timeoutMs: number,
@@ -79,7 +83,7 @@
   try {
     const { packed, reports, ...answer } = await peerClient(address, timeoutMs).facts.query({
       ...known,
-      asker: vouchFor(),
+      asker: ownServingEntry(),
     });
     if (reports) exchangeReports(address, reports).catch((error: Error) => failed(error.message));
     if (packed === undefined) return answer;
@@ -90,31 +94,31 @@
   }
 };
 
-/** Builds the question that the follower asks while the store is out of reach. */
-export const askPeers = (options: AskOptions): PeerQuestion => {
+/** Creates the query that the follower uses while the store is unreachable. */
+export const askPeers = (options: PeerQueryOptions): PeerQuestion => {
   let round = 0;
   return async (known) => {
-    const addresses = peersToAsk(options.peers(), options.self, options.seeds, round);
+    const addresses = selectPeers(options.peers(), options.self, options.seeds, round);
     round += 1;
     const answers = await Promise.all(
-      addresses.map((address) => askOne(options, address, known, PEER_TIMEOUT_MS)),
+      addresses.map((address) => queryPeer(options, address, known, FACTS_TIMEOUT_MS)),
     );
     return answers.filter((answer): answer is PeerAnswer => answer !== undefined);
   };
 };
 
 /**
- * Builds the question of a fresh instance. Only one peer is asked, drawn at
- * random: the store is as near, and waiting for a second one costs more than
- * listing there. A peer that the settings name lists at the store itself, or
- * those that start together would wait for each other.
+ * Creates the query of a new instance. Only one random seed peer is queried:
+ * the store is as near, and waiting for a second peer costs more than listing
+ * from the store. An instance that is itself a seed lists from the store;
+ * otherwise seeds that start together would wait for each other.
  */
 export const askSnapshot =
-  (options: AskOptions, random: () => number): SnapshotQuestion =>
+  (options: PeerQueryOptions, random: () => number): SnapshotQuestion =>
   async () => {
     const { seeds, self } = options;
     if (seeds.length === 0 || seeds.includes(self.peerAddress)) return undefined;
     const address = seeds[Math.floor(random() * seeds.length)];
-    const answer = await askOne(options, address, NOTHING_KNOWN, SNAPSHOT_TIMEOUT_MS);
+    const answer = await queryPeer(options, address, NO_KNOWN_MOMENT, SNAPSHOT_TIMEOUT_MS);
     return answer?.storeReachedForMs === undefined ? undefined : answer.list;
   };
--- a/packages/gateway/src/peers/client.ts
+++ b/packages/gateway/src/peers/client.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to a peer: tRPC's client over Node's http client. The ready-made link
- * looks at `FormData`, which makes Node load its `fetch` implementation.
+ * Peer client: tRPC's client on top of Node's http client. The standard tRPC
+ * link accesses `FormData`, which makes Node load its `fetch` implementation.
  */
 import type { Operation, TRPCLink } from '@trpc/client';
 import { TRPCClientError, createTRPCClient } from '@trpc/client';
@@ -12,73 +12,76 @@
 
 const agent = new Agent({ keepAlive: true, timeout: 5000 });
 
-/** What a peer sends: a result, or why there is none. */
-type PeerReply = { result: { data: unknown } } | { error: { message: string } };
+/** Response of a peer: a result or an error. */
+type PeerResponse = { result: { data: unknown } } | { error: { message: string } };
 
-const readReply = (
+const readResponse = (
   res: IncomingMessage,
-  done: (reply: PeerReply) => void,
-  failed: (error: Error) => void,
+  onResponse: (response: PeerResponse) => void,
+  onError: (error: Error) => void,
 ): void => {
   const chunks: Buffer[] = [];
-  res.on('error', failed);
+  res.on('error', onError);
   res.on('data', (chunk: Buffer) => chunks.push(chunk));
   res.on('end', () => {
     try {
-      done(JSON.parse(Buffer.concat(chunks).toString('utf8')) as PeerReply);
+      onResponse(JSON.parse(Buffer.concat(chunks).toString('utf8')) as PeerResponse);
     } catch {
-      failed(new Error(`the answer (${res.statusCode}) is not JSON`));
+      onError(new Error(`the response (${res.statusCode}) is not JSON`));
     }
   });
 };
 
-/** A question: in the path, as a reader sees it in a trace, or with a body, as reports are too long for a path. */
-interface PeerCall {
+/** An HTTP request to a peer. Queries have their input in the path, where it is visible in traces; mutations have a body, since reports are too long for a path. */
+interface PeerRequest {
   path: string;
   body?: string;
 }
 
-const callOf = ({ type, path, input }: Operation): PeerCall =>
+const toPeerRequest = ({ type, path, input }: Operation): PeerRequest =>
   type === 'mutation'
     ? { path: `/${path}`, body: JSON.stringify(input) }
     : { path: `/${path}?input=${encodeURIComponent(JSON.stringify(input))}` };
 
-/** Asks once; `failed` may come after `done`, the caller takes the first. Returns how to give up. */
-const ask = (
+/** Sends one request and returns a function that aborts it. `onError` may be called after `onResponse`; the caller uses the first call. */
+const sendRequest = (
   address: string,
-  { path, body }: PeerCall,
+  { path, body }: PeerRequest,
   timeoutMs: number,
-  done: (reply: PeerReply) => void,
-  failed: (error: Error) => void,
+  onResponse: (response: PeerResponse) => void,
+  onError: (error: Error) => void,
 ): (() => void) => {
   const method = body === undefined ? 'GET' : 'POST';
   const req = httpRequest({ ...splitAddress(address), path, method, agent }, (res) =>
-    readReply(res, done, failed),
+    readResponse(res, onResponse, onError),
   );
-  const timer = setTimeout(() => req.destroy(new Error(`no answer in ${timeoutMs} ms`)), timeoutMs);
-  req.on('error', failed);
+  const timer = setTimeout(
+    () => req.destroy(new Error(`no response within ${timeoutMs} ms`)),
+    timeoutMs,
+  );
+  req.on('error', onError);
   req.on('close', () => clearTimeout(timer));
   req.end(body);
   return () => req.destroy();
 };
 
-const linkTo =
+const peerLink =
   (address: string, timeoutMs: number): TRPCLink<PeerRouter> =>
   () =>
   ({ op }) =>
     observable((observer) => {
-      const failed = (error: Error) => observer.error(TRPCClientError.from(error));
-      const done = (reply: PeerReply) => {
-        if ('error' in reply) {
-          failed(new Error(reply.error.message));
+      const onError = (error: Error) => observer.error(TRPCClientError.from(error));
+      const onResponse = (response: PeerResponse) => {
+        if ('error' in response) {
+          onError(new Error(response.error.message));
           return;
         }
-        observer.next({ result: { type: 'data', data: reply.result.data } });
+        observer.next({ result: { type: 'data', data: response.result.data } });
         observer.complete();
       };
-      return ask(address, callOf(op), timeoutMs, done, failed);
+      return sendRequest(address, toPeerRequest(op), timeoutMs, onResponse, onError);
     });
 
-/** A client of the peer at `address` whose questions fail after `timeoutMs`. */
+/** Creates a client of the peer at `address` whose requests time out after `timeoutMs`. */
 export const peerClient = (address: string, timeoutMs: number) =>
-  createTRPCClient<PeerRouter>({ links: [linkTo(address, timeoutMs)] });
+  createTRPCClient<PeerRouter>({ links: [peerLink(address, timeoutMs)] });
--- a/packages/gateway/src/peers/reportExchange.ts
+++ b/packages/gateway/src/peers/reportExchange.ts
@@ -1,62 +1,68 @@
-/** Exchanges reports of crashes with a peer, those that either lacks. */
+/** Exchanges the crash reports that this instance or a peer lacks. */
 import type { CrashReports, ReportMark } from '@cardamomladder/fleet';
 import { isCovered } from '@cardamomladder/fleet';
 import type { DecisionLog } from '../decisionLog';
 import { peerClient } from './client';
-import { reportAnswer } from './reportFormat';
+import { reportsResponse } from './reportFormat';
 
-/** How long a peer may take, ms: as for facts. */
-const ANSWER_WITHIN_MS = 400;
+/** Response timeout of a peer, ms: the same as for facts. */
+const RESPONSE_TIMEOUT_MS = 400;
 
-/** How far two instances know each other's reports. */
-interface Exchanged {
-  /** Up to where the peer knows this one's. */
-  told: ReportMark | undefined;
-  /** Up to where this one knows the peer's. */
-  heard: ReportMark | undefined;
+/** Progress of the exchange with one peer. */
+interface ExchangeState {
+  /** Up to which mark the peer has this instance's reports. */
+  sentMark: ReportMark | undefined;
+  /** Up to which mark this instance has the peer's reports. */
+  receivedMark: ReportMark | undefined;
 }
 
-/** What exchanging needs of the instance. */
+/** Dependencies of the exchange. */
 export interface ExchangeOptions {
   crashReports: Pick<CrashReports, 'mark' | 'after' | 'hear'>;
-  /** True while this instance reaches the store itself. */
+  /** True while this instance itself reaches the store. */
   storeReached: () => boolean;
   log: DecisionLog;
 }
 
-/** Exchanges reports with the peer at `address` whose own go up to `theirs`; never rejects. */
+/** Exchanges reports with the peer at `address`, whose reports go up to the mark `theirs`; never rejects. */
 export type ReportExchange = (address: string, theirs: ReportMark) => Promise<void>;
 
-/** Builds the exchange; it asks nothing of a peer with which there is nothing to exchange. */
+/** Creates the exchange; it sends no request to a peer if neither side has new reports. */
 export const reportExchange = ({
   crashReports,
   storeReached,
   log,
 }: ExchangeOptions): ReportExchange => {
-  const known = new Map<string, Exchanged>();
-  const underWay = new Set<string>();
+  const stateByAddress = new Map<string, ExchangeState>();
+  const inProgress = new Set<string>();
 
-  const exchange = async (address: string, { told, heard }: Exchanged): Promise<void> => {
-    const mine = crashReports.after(told);
-    const raw = await peerClient(address, ANSWER_WITHIN_MS).reports.mutate({
-      after: heard,
-      reports: mine.reports,
+  const exchange = async (
+    address: string,
+    { sentMark, receivedMark }: ExchangeState,
+  ): Promise<void> => {
+    const own = crashReports.after(sentMark);
+    const raw = await peerClient(address, RESPONSE_TIMEOUT_MS).reports.mutate({
+      after: receivedMark,
+      reports: own.reports,
     });
-    const theirs = reportAnswer.parse(raw);
-    const isLatest = isCovered(crashReports.mark, mine.mark);
+    const theirs = reportsResponse.parse(raw);
+    const isLatest = isCovered(crashReports.mark, own.mark);
     crashReports.hear(theirs.reports, storeReached());
-    // What was just heard of the peer need not go back to it.
-    const hasNews = isLatest && !isCovered(crashReports.mark, mine.mark);
-    known.set(address, { told: hasNews ? crashReports.mark : mine.mark, heard: theirs.mark });
+    // Reports just received from the peer need not be sent back to it.
+    const receivedNew = isLatest && !isCovered(crashReports.mark, own.mark);
+    stateByAddress.set(address, {
+      sentMark: receivedNew ? crashReports.mark : own.mark,
+      receivedMark: theirs.mark,
+    });
   };
 
   return async (address, theirs) => {
-    const exchanged = known.get(address) ?? { told: undefined, heard: undefined };
-    const isTold = isCovered(crashReports.mark, exchanged.told);
-    if ((isTold && isCovered(theirs, exchanged.heard)) || underWay.has(address)) return;
-    underWay.add(address);
+    const state = stateByAddress.get(address) ?? { sentMark: undefined, receivedMark: undefined };
+    const isSent = isCovered(crashReports.mark, state.sentMark);
+    if ((isSent && isCovered(theirs, state.receivedMark)) || inProgress.has(address)) return;
+    inProgress.add(address);
     try {
-      await exchange(address, exchanged);
+      await exchange(address, state);
     } catch (error) {
       log.write('crash-report', undefined, {
         event: 'not exchanged',
@@ -64,7 +70,7 @@
         reason: (error as Error).message,
       });
     } finally {
-      underWay.delete(address);
+      inProgress.delete(address);
     }
   };
 };
--- a/packages/gateway/src/peers/reportFormat.ts
+++ b/packages/gateway/src/peers/reportFormat.ts
@@ -1,4 +1,4 @@
-/** How reports of crashes look on their way from peer to peer. */
+/** Schemas of the crash reports exchanged between peers. */
 import { z } from 'zod';
 import { REPORTS_AT_A_TIME } from '@cardamomladder/fleet';
 import type { TargetRun } from '@cardamomladder/types';
@@ -26,8 +26,8 @@
 });
 const passedReports = z.array(passedReport).max(REPORTS_AT_A_TIME);
 
-/** A question for reports, with the asker's own. */
-export const reportQuestion = z.object({ after: mark.optional(), reports: passedReports });
+/** Request for a peer's reports; carries the sender's own reports. */
+export const reportsRequest = z.object({ after: mark.optional(), reports: passedReports });
 
-/** The answer to it. */
-export const reportAnswer = z.object({ mark, reports: passedReports });
+/** Response to a `reportsRequest`. */
+export const reportsResponse = z.object({ mark, reports: passedReports });
--- a/packages/gateway/src/peers/router.ts
+++ b/packages/gateway/src/peers/router.ts
@@ -1,10 +1,10 @@
 /**
- * What peers may ask of each other: the facts this instance holds, for one
- * that the store turns away; and the changes it watches, for those that
- * follow the store through it; and reports of crashes that the store may not
- * have, both ways. Each question for facts carries the asker's own entry;
- * hearing from it directly vouches that it lives, though its entry in the
- * store may be gone.
+ * Procedures that an instance offers to its peers: the facts it holds, for
+ * peers that cannot reach the store; the changes it watches, for peers that
+ * follow the store through it; an exchange of crash reports that the store may
+ * not have; and tokens of the customers it keeps. Requests for facts and
+ * changes carry the sender's own entry; receiving one directly shows that the
+ * sender is alive, even if its entry in the store is gone.
  */
 import { initTRPC } from '@trpc/server';
 import { filter, first, firstValueFrom, merge, timer } from 'rxjs';
@@ -25,40 +25,40 @@
 import { compareMoments, momentOf, storeEpoch } from '@cardamomladder/types';
 import type { TokenAnswer, TokenQuestion } from '../quota/tokenFormat';
 import { tokenQuestion } from '../quota/tokenFormat';
-import { reportQuestion } from './reportFormat';
+import { reportsRequest } from './reportFormat';
 
 const t = initTRPC.create();
 
-/** The longest a question waits here, ms, whatever the asker wants. */
-const WAIT_MOST_MS = 2000;
+/** Upper limit of the wait time that a request may ask for, ms. */
+const MAX_WAIT_MS = 2000;
 
-/** What the router needs of the instance. */
+/** Dependencies of the router. */
 export interface PeerRouterOptions {
   beliefs: Beliefs;
   follower: Follower;
   crashReports: Pick<CrashReports, 'mark' | 'after' | 'hear'>;
-  vouch: (asker: InstanceEntry) => void;
-  /** Lends tokens of the customers that this instance keeps. */
+  recordPeer: (asker: InstanceEntry) => void;
+  /** Lends tokens of the customers whose token pools this instance keeps. */
   lend: (question: TokenQuestion) => TokenAnswer;
-  /** Steady clock, ms. */
+  /** Monotonic clock, ms. */
   now: () => number;
 }
 
-/** What this instance knows beyond the revision asked for: the changes while it keeps them, or else all facts. */
-export interface KnownFacts {
-  /** For how long the store has been reached, ms; unset while it is not. */
+/** The facts newer than the requested revision: the changes if they are still retained, otherwise all facts. */
+export interface FactsResponse {
+  /** How long the store has been reachable, ms; unset while it is not. */
   storeReachedForMs?: number;
   changes?: FactChanges;
-  /** All facts, packed. */
+  /** All facts, compressed. */
   packed?: string;
-  /** Up to where this instance has reports of crashes that the store may not have; an older version does not say. */
+  /** Mark up to which this instance has crash reports that the store may not have; older versions omit it. */
   reports?: ReportMark;
 }
 
-/** Changes for a peer that follows, packed or not, and how long ago the store was heard, ms. */
-interface PassedChanges {
+/** Changes for a following peer, compressed or not, and the time since the last response of the store, ms. */
+interface IncrementalChanges {
   kind: 'changes';
-  /** An older version does not tell it. */
+  /** Older versions omit it. */
   epoch?: StoreEpoch;
   revision: number;
   storeHeardMsAgo: number;
@@ -66,53 +66,54 @@
   packed?: string;
 }
 
-/** All facts for a peer that follows, packed, and how long ago the store was heard, ms. */
-interface PassedList {
+/** All facts for a following peer, compressed, and the time since the last response of the store, ms. */
+interface FullList {
   kind: 'list';
   list: string;
   storeHeardMsAgo: number;
 }
 
-/** An answer to a peer that follows: changes, or all facts where the changes since are not kept; or why it must ask elsewhere. */
-export type FollowedChanges =
-  PassedChanges | PassedList | { kind: 'not-watching' } | { kind: 'history-gone' };
+/** Response to a following peer: the changes, all facts if the changes are no longer retained, or the reason why it must query another instance. */
+export type ChangesResponse =
+  IncrementalChanges | FullList | { kind: 'not-watching' } | { kind: 'history-gone' };
 
-/** From so many changes on they are packed: one or two become hardly smaller. */
-const PACKED_FROM = 3;
+/** Minimum number of changes that are compressed: one or two hardly become smaller. */
+const MIN_CHANGES_TO_PACK = 3;
 
-const question = z.object({
-  /** The store's epoch that the asker follows; an older version does not tell it. */
+const factsRequest = z.object({
+  /** Store epoch that the sender follows; older versions omit it. */
   epoch: z.number().default(0).transform(storeEpoch),
-  /** The store's revision up to which the asker knows all. */
+  /** Store revision up to which the sender has all facts. */
   revision: z.number(),
-  /** The asker's entry, while it takes callers. */
+  /** The sender's entry while it accepts callers, otherwise null. */
   asker: z.custom<InstanceEntry>().nullable(),
 });
-const waitingQuestion = question.extend({
-  waitMs: z.number().max(WAIT_MOST_MS),
-  /** True when the asker can unpack changes. */
+const changesRequest = factsRequest.extend({
+  waitMs: z.number().max(MAX_WAIT_MS),
+  /** True if the sender can decompress changes. */
   unpacks: z.boolean().default(false),
-  /** True when the asker takes a list in place of changes. */
+  /** True if the sender accepts a full list in place of changes. */
   takesLists: z.boolean().default(false),
 });
 
-/** Only what was read at the store itself is passed on: two that followed each other would both stand still. */
-const watches = ({ reached, through }: StoreStatus): boolean => reached && through === undefined;
+/** True if the instance reads from the store itself. Only such facts are passed on: two instances that followed each other would never receive a change. */
+const watchesStore = ({ reached, through }: StoreStatus): boolean =>
+  reached && through === undefined;
 
-/** What instances that follow this one, or ask it for facts, share. */
-interface Packed {
+/** Compressed responses shared by all peers that follow this instance or request its facts. */
+interface PackedCache {
   facts: PackedFacts;
   changes: PackedChanges;
 }
 
-const changesAfter = async (
+const changesSince = async (
   { beliefs, follower }: PeerRouterOptions,
-  packed: Packed,
-  known: z.output<typeof waitingQuestion>,
-): Promise<FollowedChanges> => {
+  packed: PackedCache,
+  known: z.output<typeof changesRequest>,
+): Promise<ChangesResponse> => {
   const { changeLog, status, storeHeardMsAgo } = follower;
-  // One that has not noticed the store's return from an older copy yet is as good as none that watches.
-  if (!watches(status.value) || changeLog.epoch < known.epoch) return { kind: 'not-watching' };
+  // An instance that has not yet noticed that the store was restored from an older copy counts as not watching.
+  if (!watchesStore(status.value) || changeLog.epoch < known.epoch) return { kind: 'not-watching' };
   const changes = changeLog.since(known);
   if (!changes && !known.takesLists) return { kind: 'history-gone' };
   if (!changes) {
@@ -121,14 +122,14 @@
   }
   const { epoch, revision } = changeLog;
   const content =
-    known.unpacks && changes.length >= PACKED_FROM
+    known.unpacks && changes.length >= MIN_CHANGES_TO_PACK
       ? { packed: await packed.changes.between(known, revision, changes) }
       : { changes };
   return { kind: 'changes', ...content, epoch, revision, storeHeardMsAgo: storeHeardMsAgo() };
 };
 
-/** Resolves at the first change after `known`, when the store is lost, or after `waitMs`. */
-const untilNewer = async (
+/** Resolves at the first change after `known`, when this instance stops watching the store, or after `waitMs`. */
+const waitForNewer = async (
   { changeLog, status }: Follower,
   known: StoreMoment,
   waitMs: number,
@@ -137,18 +138,18 @@
   await firstValueFrom(
     merge(
       changeLog.advanced.pipe(filter(() => changeLog.isAfter(known))),
-      status.pipe(filter((current) => !watches(current))),
+      status.pipe(filter((current) => !watchesStore(current))),
       timer(waitMs),
     ).pipe(first()),
   );
 };
 
-/** What is known beyond `known`: a changed fact or two in place of hundreds, where the changes are kept. */
-const knownAfter = async (
+/** Returns the facts newer than `known`: only the changes if they are retained, which are often one or two facts instead of hundreds. */
+const factsSince = async (
   { beliefs, follower }: PeerRouterOptions,
   packed: PackedFacts,
   known: StoreMoment,
-): Promise<Pick<KnownFacts, 'changes' | 'packed'>> => {
+): Promise<Pick<FactsResponse, 'changes' | 'packed'>> => {
   if (compareMoments(beliefs, known) <= 0) return {};
   const { changeLog } = follower;
   const changes = known.revision > 0 ? changeLog.since(known) : undefined;
@@ -157,31 +158,31 @@
     : { packed: await packed.at(beliefs.moment) };
 };
 
-/** Builds the router of one instance. */
+/** Creates the router of one instance. */
 export const peerRouter = (options: PeerRouterOptions) => {
-  const { follower, crashReports, vouch, lend, now } = options;
-  const packed: Packed = {
+  const { follower, crashReports, recordPeer, lend, now } = options;
+  const packed: PackedCache = {
     facts: new PackedFacts(() => follower.list()),
     changes: new PackedChanges(),
   };
   return t.router({
-    facts: t.procedure.input(question).query(async ({ input }): Promise<KnownFacts> => {
-      if (input.asker) vouch(input.asker);
+    facts: t.procedure.input(factsRequest).query(async ({ input }): Promise<FactsResponse> => {
+      if (input.asker) recordPeer(input.asker);
       const { reached, since } = follower.status.value;
       return {
         ...(reached ? { storeReachedForMs: now() - since } : {}),
-        ...(await knownAfter(options, packed.facts, input)),
+        ...(await factsSince(options, packed.facts, input)),
         reports: crashReports.mark,
       };
     }),
     changes: t.procedure
-      .input(waitingQuestion)
-      .query(async ({ input }): Promise<FollowedChanges> => {
-        if (input.asker) vouch(input.asker);
-        await untilNewer(follower, input, input.waitMs);
-        return changesAfter(options, packed, input);
+      .input(changesRequest)
+      .query(async ({ input }): Promise<ChangesResponse> => {
+        if (input.asker) recordPeer(input.asker);
+        await waitForNewer(follower, input, input.waitMs);
+        return changesSince(options, packed, input);
       }),
-    reports: t.procedure.input(reportQuestion).mutation(({ input }): PassedReports => {
+    reports: t.procedure.input(reportsRequest).mutation(({ input }): PassedReports => {
       const answer = crashReports.after(input.after);
       crashReports.hear(input.reports, follower.status.value.reached);
       return answer;
@@ -190,5 +191,5 @@
   });
 };
 
-/** The router's type, for clients. */
+/** Router type, used by clients. */
 export type PeerRouter = ReturnType<typeof peerRouter>;
--- a/packages/gateway/src/peers/server.ts
+++ b/packages/gateway/src/peers/server.ts
@@ -1,7 +1,7 @@
 /**
- * Serves the peers' questions: tRPC's router behind Node's http server. The
- * ready-made adapter turns each request into the `fetch` API's objects, whose
- * implementation Node loads at the first use, which costs each process time and memory.
+ * Peer server: a tRPC router behind Node's http server. The standard tRPC
+ * adapter converts each request to `fetch` API objects, whose implementation
+ * Node loads on first use, at a cost in time and memory for each process.
  */
 import { TRPCError } from '@trpc/server';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -10,15 +10,18 @@
 import type { PeerRouter } from './router';
 
 const OK = 200;
-const STATUS_OF: Partial<Record<TRPCError['code'], number>> = { BAD_REQUEST: 400, NOT_FOUND: 404 };
-const OTHER_FAILURE = 500;
+const STATUS_BY_CODE: Partial<Record<TRPCError['code'], number>> = {
+  BAD_REQUEST: 400,
+  NOT_FOUND: 404,
+};
+const INTERNAL_ERROR = 500;
 
-const answer = async (router: PeerRouter, req: IncomingMessage): Promise<unknown> => {
+const handleRequest = async (router: PeerRouter, req: IncomingMessage): Promise<unknown> => {
   const url = new URL(req.url ?? '/', 'http://instance');
-  const questions = router.createCaller({});
+  const procedures = router.createCaller({});
   const name = url.pathname.slice(1);
   if (name === 'reports' || name === 'tokens')
-    return questions[name]((await readJson(req)) as never);
+    return procedures[name]((await readJson(req)) as never);
   if (name !== 'facts' && name !== 'changes') {
     throw new TRPCError({
       code: 'NOT_FOUND',
@@ -26,19 +29,19 @@
     });
   }
   const input = JSON.parse(url.searchParams.get('input') ?? 'null') as never;
-  return questions[name](input);
+  return procedures[name](input);
 };
 
-const refuse = (res: ServerResponse, error: Error): void => {
+const sendError = (res: ServerResponse, error: Error): void => {
   const code = error instanceof TRPCError ? error.code : 'BAD_REQUEST';
-  sendJson(res, STATUS_OF[code] ?? OTHER_FAILURE, { error: { message: error.message } });
+  sendJson(res, STATUS_BY_CODE[code] ?? INTERNAL_ERROR, { error: { message: error.message } });
 };
 
-/** A server for the peers' questions; a malformed one is refused with what is wrong. */
+/** Creates the server for peer requests; a malformed request is rejected with an error message that says why. */
 export const createPeerServer = (router: PeerRouter): Server =>
   createServer((req, res) => {
-    answer(router, req).then(
+    handleRequest(router, req).then(
       (data) => sendJson(res, OK, { result: { data } }),
-      (error: Error) => refuse(res, error),
+      (error: Error) => sendError(res, error),
     );
   });
--- a/packages/gateway/src/peers/watch.ts
+++ b/packages/gateway/src/peers/watch.ts
@@ -5,58 +5,59 @@
 import { momentOf, storeEpoch } from '@cardamomladder/types';
 import type { DecisionLog } from '../decisionLog';
 import { peerClient } from './client';
-import type { FollowedChanges } from './router';
+import type { ChangesResponse } from './router';
 
-/** How long a peer may take to answer beyond its wait, ms: over two ways between any regions; it counts against the time allowed to obey a leaving target. */
-const ANSWER_WITHIN_MS = 300;
+/** Time a peer may take to respond beyond its wait time, ms: more than two trips between any two regions; it counts against the time allowed to react to a leaving target. */
+const RESPONSE_MARGIN_MS = 300;
 
-/** What following needs of the instance. */
-export interface WatchOptions {
-  /** This instance's entry while it takes callers. */
-  vouchFor: () => InstanceEntry | null;
+/** Dependencies of `watchPeer`. */
+export interface WatchPeerOptions {
+  /** This instance's entry while it accepts callers. */
+  ownServingEntry: () => InstanceEntry | null;
   log: DecisionLog;
 }
 
-const failed = (peer: InstanceEntry, reason: string): StoreFailure => ({
+const peerFailure = (peer: InstanceEntry, reason: string): StoreFailure => ({
   kind: 'unavailable',
   message: `peer ${peer.id}: ${reason}`,
 });
 
-/** What a followed peer's answer holds, or why it holds nothing. */
+/** Extracts the facts from a followed peer's response, or the reason why there are none. */
 export const followedFacts = (
   peer: InstanceEntry,
-  answer: FollowedChanges,
+  answer: ChangesResponse,
 ): ResultAsync<FollowedFacts, StoreFailure> => {
   if (answer.kind === 'history-gone')
-    return errAsync({ ...failed(peer, answer.kind), kind: answer.kind });
-  if (answer.kind === 'not-watching') return errAsync(failed(peer, 'does not watch the store'));
+    return errAsync({ ...peerFailure(peer, answer.kind), kind: answer.kind });
+  if (answer.kind === 'not-watching')
+    return errAsync(peerFailure(peer, 'does not watch the store'));
   const { storeHeardMsAgo } = answer;
   if (answer.kind === 'list')
     return unpackFacts(answer.list)
       .map((list) => ({ ...momentOf(list), changes: [], list, storeHeardMsAgo }))
-      .mapErr(({ message }) => failed(peer, message));
+      .mapErr(({ message }) => peerFailure(peer, message));
   const { epoch = storeEpoch(0), revision, changes = [], packed } = answer;
   const all = packed === undefined ? okAsync(changes) : unpackChanges(packed);
   return all
-    .map((each) => ({ changes: each, epoch, revision, storeHeardMsAgo }))
-    .mapErr(({ message }) => failed(peer, message));
+    .map((unpacked) => ({ changes: unpacked, epoch, revision, storeHeardMsAgo }))
+    .mapErr(({ message }) => peerFailure(peer, message));
 };
 
-/** Builds the question that waits at a followed peer; each failure is logged. */
+/** Creates the long-poll request to a followed peer; each failure is logged. */
 export const watchPeer =
-  ({ vouchFor, log }: WatchOptions): PeerWatch =>
+  ({ ownServingEntry, log }: WatchPeerOptions): PeerWatch =>
   (peer, known, waitMs) =>
     ResultAsync.fromPromise(
-      peerClient(peer.peerAddress, waitMs + ANSWER_WITHIN_MS).changes.query({
+      peerClient(peer.peerAddress, waitMs + RESPONSE_MARGIN_MS).changes.query({
         ...known,
-        asker: vouchFor(),
+        asker: ownServingEntry(),
         waitMs,
         unpacks: true,
         takesLists: true,
       }),
-      (error) => failed(peer, (error as Error).message),
+      (error) => peerFailure(peer, (error as Error).message),
     )
-      .andThen((answer: FollowedChanges) => followedFacts(peer, answer))
+      .andThen((answer: ChangesResponse) => followedFacts(peer, answer))
       .mapErr((failure) => {
         log.write('store', undefined, {
           event: 'followed peer failed',
