--- a/packages/gateway/src/parts.ts
+++ b/packages/gateway/src/components.ts
@@ -1,4 +1,4 @@
-/** What the parts of one instance share, and the parts that need nothing else. */
+/** Creates the components that the servers and background tasks of one instance share. */
 import { randomUUID } from 'node:crypto';
 import type { BehaviorSubject } from 'rxjs';
 import type { Follower, InstanceEntry, Registration, Store } from '@cardamomladder/fleet';
@@ -14,7 +14,6 @@
   regionName,
   socketAddress,
 } from '@cardamomladder/types';
-import { logBeliefs } from './beliefLog';
 import type { DecisionLog } from './decisionLog';
 import { decisionLog } from './decisionLog';
 import { FleetMembers } from './lifecycle/fleetMembers';
@@ -25,11 +24,12 @@
 import { reportExchange } from './peers/reportExchange';
 import { RecentPeers, knownInstances } from './peers/recentPeers';
 import { watchPeer } from './peers/watch';
+import { logStateChanges } from './stateChangeLog';
 import type { Wire } from './wireNames';
 
-/** The shared parts. */
-export interface Parts {
-  /** The settings in force; a reload replaces them. */
+/** Shared components of one instance. */
+export interface Components {
+  /** Returns the current settings; a reload replaces them. */
   settings: () => InstanceSettings;
   store: Store;
   wire: Wire;
@@ -38,22 +38,22 @@
   phase: BehaviorSubject<Phase>;
   beliefs: Beliefs;
   self: InstanceEntry;
-  vouched: RecentPeers;
+  recentPeers: RecentPeers;
   fleet: FleetMembers;
-  /** The instances that callers are sent to. */
+  /** The instances that the directory advertises to callers. */
   named: NamedInstances;
-  /** Requests kept from targets, as they crash them. */
+  /** Requests that are not sent to targets because they crash them. */
   quarantine: Quarantine;
   answeredLately: AnsweredLately;
-  /** What this instance saw of crashes. */
+  /** Target crashes observed by this instance. */
   crashReports: CrashReports;
-  /** True while this instance takes callers. */
+  /** True while this instance accepts callers. */
   ready: () => boolean;
-  /** Steady clock, ms. */
+  /** Monotonic clock, ms. */
   now: () => number;
 }
 
-const entryOf = ({ instance, listen }: InstanceSettings): InstanceEntry => ({
+const ownEntryOf = ({ instance, listen }: InstanceSettings): InstanceEntry => ({
   id: instanceId(instance.id),
   callerAddress: socketAddress(listen.callers),
   peerAddress: socketAddress(listen.peers),
@@ -65,8 +65,8 @@
   },
 });
 
-/** The quarantine, as it follows from the reports in the store; each change of what it holds is logged. */
-const quarantineOf = (beliefs: Beliefs, log: DecisionLog, now: () => number): Quarantine => {
+/** Creates the quarantine, derives its content from the crash reports in the store, and logs each change. */
+const createQuarantine = (beliefs: Beliefs, log: DecisionLog, now: () => number): Quarantine => {
   const quarantine = new Quarantine(now);
   beliefs.changes.subscribe((change) => {
     if (change.kind === 'crash-report')
@@ -79,14 +79,20 @@
   return quarantine;
 };
 
-/** This instance's reports of crashes; its peers get those that the store does not have. */
-const crashReportsOf = (
-  { store, beliefs, fleet, log, now }: Pick<Parts, 'store' | 'beliefs' | 'fleet' | 'log' | 'now'>,
-  book: Quarantine,
+/** Creates this instance's crash reports; reports that the store does not have are passed on to peers. */
+const createCrashReports = (
+  {
+    store,
+    beliefs,
+    fleet,
+    log,
+    now,
+  }: Pick<Components, 'store' | 'beliefs' | 'fleet' | 'log' | 'now'>,
+  quarantine: Quarantine,
 ): CrashReports => {
   const crashReports = new CrashReports({
     store,
-    book,
+    book: quarantine,
     fleetSize: () => fleet.size(),
     nextId: randomUUID,
     logName: randomUUID(),
@@ -106,25 +112,29 @@
   return crashReports;
 };
 
-/** Peers by their own word, unless their entry has gone since. */
-const vouchedOf = (beliefs: Beliefs, now: () => number): RecentPeers => {
-  const vouched = new RecentPeers(now);
+/** Creates the set of recently seen peers; a peer is dropped when its registry entry is removed. */
+const createRecentPeers = (beliefs: Beliefs, now: () => number): RecentPeers => {
+  const recentPeers = new RecentPeers(now);
   beliefs.changes.subscribe((change) => {
-    if (change.kind === 'instance-gone') vouched.remove(change.id);
+    if (change.kind === 'instance-gone') recentPeers.remove(change.id);
   });
-  return vouched;
+  return recentPeers;
 };
 
-/** Builds the shared parts. */
-export const buildParts = (settings: () => InstanceSettings, store: Store, wire: Wire): Parts => {
+/** Creates the shared components. */
+export const createComponents = (
+  settings: () => InstanceSettings,
+  store: Store,
+  wire: Wire,
+): Components => {
   const now = () => performance.now();
   const log = decisionLog(logger('gateway'), now);
   const phase = createPhase();
   const beliefs = new Beliefs();
-  logBeliefs(beliefs, log);
+  logStateChanges(beliefs, log);
   const fleet = new FleetMembers(beliefs, now);
-  const vouched = vouchedOf(beliefs, now);
-  const quarantine = quarantineOf(beliefs, log, now);
+  const recentPeers = createRecentPeers(beliefs, now);
+  const quarantine = createQuarantine(beliefs, log, now);
   return {
     settings,
     store,
@@ -133,33 +143,33 @@
     metrics: gatewayMetrics(false),
     phase,
     beliefs,
-    self: entryOf(settings()),
-    vouched,
+    self: ownEntryOf(settings()),
+    recentPeers,
     fleet,
     named: new NamedInstances(beliefs, now),
     quarantine,
     answeredLately: new AnsweredLately(now),
-    crashReports: crashReportsOf({ store, beliefs, fleet, log, now }, quarantine),
+    crashReports: createCrashReports({ store, beliefs, fleet, log, now }, quarantine),
     ready: () => phase.value === 'serving' && beliefs.configuration !== undefined,
     now,
   };
 };
 
-/** Starts following the store. */
-export const startFollowing = (parts: Parts): Follower => {
-  const { store, beliefs, vouched, crashReports, self, log, metrics, now, ready } = parts;
-  const { seeds } = parts.settings();
+/** Starts the follower that keeps the local state in step with the store. */
+export const startStoreFollower = (components: Components): Follower => {
+  const { store, beliefs, recentPeers, crashReports, self, log, metrics, now, ready } = components;
+  const { seeds } = components.settings();
   const ownServingEntry = () => (ready() ? self : null);
-  const peers = () => [...knownInstances(beliefs, vouched).values()];
+  const peers = () => [...knownInstances(beliefs, recentPeers).values()];
   let storeReached = false;
   const exchangeReports = reportExchange({ crashReports, storeReached: () => storeReached, log });
-  const asking = { peers, self, seeds, ownServingEntry, exchangeReports, log };
+  const askOptions = { peers, self, seeds, ownServingEntry, exchangeReports, log };
   const follower = follow({
     store,
     beliefs,
     self,
-    askPeers: askPeers(asking),
-    askSnapshot: askSnapshot(asking, Math.random),
+    askPeers: askPeers(askOptions),
+    askSnapshot: askSnapshot(askOptions, Math.random),
     watchPeer: watchPeer({ ownServingEntry, log }),
     now,
     random: Math.random,
@@ -174,14 +184,16 @@
   return follower;
 };
 
-/** Registers once a configuration is known, and serves from then on; returns the registration, if there is one yet. */
-export const registerWhenConfigured = (parts: Parts): (() => Registration | undefined) => {
-  const { store, beliefs, self, phase, log, now } = parts;
+/** Starts serving and registers the instance when the first configuration arrives; the returned function gives the registration, if there is one yet. */
+export const registerWhenConfigured = (
+  components: Components,
+): (() => Registration | undefined) => {
+  const { store, beliefs, self, phase, log, now } = components;
   let registration: Registration | undefined;
-  const waiting = beliefs.changes.subscribe((change) => {
+  const subscription = beliefs.changes.subscribe((change) => {
     if (change.kind !== 'configuration' || phase.value !== 'starting') return;
     phase.next('serving');
-    queueMicrotask(() => waiting.unsubscribe());
+    queueMicrotask(() => subscription.unsubscribe());
     registration = startRegistration({
       store,
       beliefs,
--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -1,16 +1,16 @@
-/** Puts one instance together and runs it from start to planned stop. */
+/** Builds one gateway instance and runs it from startup to planned shutdown. */
 import type { Beliefs, Store } from '@cardamomladder/fleet';
 import type { InstanceSettings } from '@cardamomladder/settings';
 import type { GatewayMetrics, LineWriter } from '@cardamomladder/telemetry';
 import { monitorLoopDelay } from './lifecycle/loopDelay';
 import { stopGracefully } from './lifecycle/stop';
 import { startListeners } from './listeners';
-import { buildParts, registerWhenConfigured, startFollowing } from './parts';
+import { createComponents, registerWhenConfigured, startStoreFollower } from './components';
 import type { Wire } from './wireNames';
 
 const MS_PER_SECOND = 1000;
 
-/** What an instance is built from. */
+/** Inputs for starting an instance. */
 export interface GatewayOptions {
   settings: InstanceSettings;
   store: Store;
@@ -22,24 +22,24 @@
 export interface Gateway {
   beliefs: Beliefs;
   metrics: GatewayMetrics;
-  /** Takes changed settings into force, as far as that needs no restart. */
+  /** Applies changed settings, except those that need a restart. */
   reload: (settings: InstanceSettings) => void;
-  /** Planned stop; resolves once nothing is under way any more. */
+  /** Planned shutdown; resolves once no work is in progress. */
   stop: () => Promise<void>;
 }
 
-/** Starts an instance; resolves once it listens. It is ready once it knows a configuration. */
+/** Starts an instance and resolves once it listens. It becomes ready when it has a configuration. */
 export const startGateway = async (options: GatewayOptions): Promise<Gateway> => {
   const { store, wire, logWriter } = options;
   let { settings } = options;
-  const parts = buildParts(() => settings, store, wire);
-  const { beliefs, metrics, phase, log, now, self, crashReports } = parts;
-  // Before following, so that the first configuration is not missed.
-  const registration = registerWhenConfigured(parts);
-  const follower = startFollowing(parts);
+  const components = createComponents(() => settings, store, wire);
+  const { beliefs, metrics, phase, log, now, self, crashReports } = components;
+  // Subscribes before the store follower starts, so that the first configuration is not missed.
+  const registration = registerWhenConfigured(components);
+  const follower = startStoreFollower(components);
   const linesDropped = () => logWriter?.dropped() ?? 0;
-  const listeners = await startListeners(parts, follower, linesDropped);
-  const stopLoopWatch = monitorLoopDelay(parts);
+  const listeners = await startListeners(components, follower, linesDropped);
+  const stopLoopMonitor = monitorLoopDelay(components);
   log.write('lifecycle', undefined, { event: 'started', id: self.id, ...settings.listen });
 
   return {
@@ -60,7 +60,7 @@
         log,
         now,
       });
-      stopLoopWatch();
+      stopLoopMonitor();
       follower.stop();
       crashReports.stop();
       listeners.close();
--- a/packages/gateway/src/decisionLog.ts
+++ b/packages/gateway/src/decisionLog.ts
@@ -1,8 +1,8 @@
 /**
- * One line per decision: what was decided, for which request, from which
- * inputs and how old they were. Failures are written in full up to a rate;
- * the ordinary course of things is only sampled. What a limit leaves out is
- * counted in the next line of its kind.
+ * Logs one line per decision: what was decided, for which request, from which
+ * inputs and how old they were. Failures are all logged up to a rate limit;
+ * routine events are only sampled. The number of suppressed lines is reported
+ * in the next line of the same kind.
  */
 import type { LogFields, Logger } from '@cardamomladder/telemetry';
 import { lineLimit } from '@cardamomladder/telemetry';
@@ -32,7 +32,7 @@
   | 'registration'
   | 'lifecycle';
 
-/** Lines per second and kind: refusals come by the hundred when targets are full, and a line costs about 20 us. */
+/** Maximum lines per second for each kind: rejections come by the hundred when targets are full, and writing a line costs about 20 us. */
 const LINES_PER_SECOND: Record<DecisionKind, number> = {
   answered: 1,
   send: 10,
@@ -58,9 +58,9 @@
   lifecycle: 50,
 };
 
-/** Writes decisions. */
+/** Rate-limited log of decisions. */
 export interface DecisionLog {
-  /** Fields that cost something to gather are given as a function, called only when the line is written. */
+  /** Pass fields that are expensive to compute as a function; it is called only if the line is written. */
   write: (
     kind: DecisionKind,
     request: string | undefined,
@@ -68,7 +68,7 @@
   ) => void;
 }
 
-/** A decision log over `log`; `now` is the steady clock, ms. */
+/** Creates a decision log that writes to `log`; `now` is a monotonic clock in ms. */
 export const decisionLog = (log: Logger, now: () => number): DecisionLog => {
   const limit = lineLimit((kind) => LINES_PER_SECOND[kind as DecisionKind]);
   return {
--- a/packages/gateway/src/listeners.ts
+++ b/packages/gateway/src/listeners.ts
@@ -1,9 +1,9 @@
-/** The servers of one instance and where they listen. */
+/** Creates the servers of one instance and binds them to their addresses. */
 import type { Server } from 'node:http';
 import type { Follower } from '@cardamomladder/fleet';
 import type { SocketAddress } from '@cardamomladder/types';
 import { splitAddress } from '@cardamomladder/types';
-import type { Parts } from './parts';
+import type { Components } from './components';
 import { peerRouter } from './peers/router';
 import { createPeerServer } from './peers/server';
 import { knownInstances } from './peers/recentPeers';
@@ -23,12 +23,12 @@
 import { TargetRegistry } from './targets/registry';
 import type { DirectoryQuestion } from './wireNames';
 
-/** How long callers keep a directory answer, seconds: they leave a stopping instance within it, and ask no more often than they must. */
+/** How long callers cache a directory response, in seconds: callers move off a stopping instance within this time, and a longer TTL means fewer directory requests. */
 const DIRECTORY_TTL_SECONDS = 2;
 
-/** The servers, all listening. */
+/** The running servers. */
 export interface Listeners {
-  /** The callers' connections, for a planned stop. */
+  /** Caller connections, tracked for a planned shutdown. */
   connections: CallerConnections;
   close: () => void;
 }
@@ -41,7 +41,14 @@
   });
 };
 
-const registryOf = ({ settings, beliefs, fleet, named, self, now }: Parts): TargetRegistry => {
+const createTargetRegistry = ({
+  settings,
+  beliefs,
+  fleet,
+  named,
+  self,
+  now,
+}: Components): TargetRegistry => {
   const { failureDomains, bounds } = settings();
   return new TargetRegistry({
     beliefs,
@@ -57,13 +64,13 @@
   });
 };
 
-/** Reports crashes, but those that a request held already explains. */
-const crashWitnessOf = (parts: Parts): CrashWitness => {
-  const { quarantine, answeredLately, crashReports, log, metrics } = parts;
+/** Reports target crashes, except those explained by a request that is already quarantined. */
+const createCrashWitness = (components: Components): CrashWitness => {
+  const { quarantine, answeredLately, crashReports, log, metrics } = components;
   return new CrashWitness(refusesConnections, (crash) => {
     metrics.targetCrashes.inc();
     log.write('target-crashed', undefined, { ...crash });
-    if (crash.requests.some((asked) => quarantine.holds(asked))) return;
+    if (crash.requests.some((suspect) => quarantine.holds(suspect))) return;
     crashReports.crashed(crash);
     crash.requests
       .filter(({ request }) => answeredLately.has(request))
@@ -71,9 +78,9 @@
   });
 };
 
-const callersOf = (parts: Parts, registry: TargetRegistry, quotas: Quotas) => {
-  const { settings, beliefs, phase, wire, fleet, metrics, log, now } = parts;
-  const { quarantine, answeredLately, crashReports } = parts;
+const createCallerListener = (components: Components, registry: TargetRegistry, quotas: Quotas) => {
+  const { settings, beliefs, phase, wire, fleet, metrics, log, now } = components;
+  const { quarantine, answeredLately, crashReports } = components;
   return createCallerServer({
     quotas,
     quarantine,
@@ -83,7 +90,7 @@
     phase,
     wire,
     registry,
-    crashes: crashWitnessOf(parts),
+    crashes: createCrashWitness(components),
     budgetOf: repeatBudgets(() => settings().bounds),
     fleetSize: () => fleet.size(),
     keysRequired: () => beliefs.configuration?.customers !== undefined,
@@ -99,8 +106,8 @@
 
 const MS_PER_SECOND = 1000;
 
-const quotasOf = (
-  { settings, self, beliefs, named, log, now }: Parts,
+const createQuotas = (
+  { settings, self, beliefs, named, log, now }: Components,
   { storeHeardMsAgo }: Follower,
 ): Quotas => {
   const { quotaWindowSeconds, quotaOverage, quotaSlack } = settings().bounds;
@@ -119,18 +126,18 @@
   });
 };
 
-/** Answers directory questions from entries, peers heard of directly, and this instance's own state. */
-const lookUpIn =
-  ({ beliefs, vouched, ready, self }: Parts) =>
-  (question: DirectoryQuestion): SocketAddress[] => {
-    const known = knownInstances(beliefs, vouched);
+/** Resolves directory queries from registry entries, recently seen peers and this instance's own readiness. */
+const createDirectoryLookup =
+  ({ beliefs, recentPeers, ready, self }: Components) =>
+  (query: DirectoryQuestion): SocketAddress[] => {
+    const known = knownInstances(beliefs, recentPeers);
     if (ready()) known.set(self.id, self);
     else known.delete(self.id);
-    return nearestInstances([...known.values()], question);
+    return nearestInstances([...known.values()], query);
   };
 
-const metricsPageOf = (
-  { metrics, beliefs }: Parts,
+const createMetricsEndpoint = (
+  { metrics, beliefs }: Components,
   registry: TargetRegistry,
   linesDropped: () => number,
 ): Server =>
@@ -143,32 +150,38 @@
     metrics.logLinesDropped.set(linesDropped());
   });
 
-/** Builds the servers; resolves once they listen. */
+/** Creates the servers and resolves once they all listen. */
 export const startListeners = async (
-  parts: Parts,
+  components: Components,
   follower: Follower,
   linesDropped: () => number,
 ): Promise<Listeners> => {
-  const { wire, beliefs, vouched, crashReports, ready, now } = parts;
-  const { listen: at, instance, metricsPort, bounds } = parts.settings();
-  const registry = registryOf(parts);
-  const quotas = quotasOf(parts, follower);
-  const { server: callers, connections } = callersOf(parts, registry, quotas);
+  const { wire, beliefs, recentPeers, crashReports, ready, now } = components;
+  const { listen: addresses, instance, metricsPort, bounds } = components.settings();
+  const registry = createTargetRegistry(components);
+  const quotas = createQuotas(components, follower);
+  const { server: callers, connections } = createCallerListener(components, registry, quotas);
   const directoryTtl = Math.min(DIRECTORY_TTL_SECONDS, bounds.directoryTtlSeconds);
-  const recordPeer = vouched.record.bind(vouched);
+  const recordPeer = recentPeers.record.bind(recentPeers);
   const servers: [Server, string][] = [
-    [callers, at.callers],
-    [createDirectoryServer(wire, lookUpIn(parts), directoryTtl), at.directory],
-    [createReadinessServer(wire, ready), at.readiness],
+    [callers, addresses.callers],
+    [
+      createDirectoryServer(wire, createDirectoryLookup(components), directoryTtl),
+      addresses.directory,
+    ],
+    [createReadinessServer(wire, ready), addresses.readiness],
     [
       createPeerServer(
         peerRouter({ beliefs, follower, crashReports, recordPeer, lend: quotas.lend, now }),
       ),
-      at.peers,
+      addresses.peers,
     ],
   ];
   if (metricsPort > 0)
-    servers.push([metricsPageOf(parts, registry, linesDropped), `${instance.ip}:${metricsPort}`]);
+    servers.push([
+      createMetricsEndpoint(components, registry, linesDropped),
+      `${instance.ip}:${metricsPort}`,
+    ]);
   await Promise.all(servers.map(([server, address]) => listen(server, address)));
   return {
     connections,
--- a/packages/gateway/src/beliefLog.ts
+++ b/packages/gateway/src/stateChangeLog.ts
@@ -1,12 +1,12 @@
-/** Writes a line for each change of what the instance believes. */
+/** Logs each change to the instance's view of the fleet state. */
 import type { BeliefChange, Beliefs } from '@cardamomladder/fleet';
 import type { LogFields } from '@cardamomladder/telemetry';
 import type { DecisionLog } from './decisionLog';
 
-/** Keys named in a line; a large fleet's store may lack hundreds. */
-const KEYS_SHOWN = 10;
+/** Maximum number of keys listed in one log line; after a restore, a large fleet's store may lack hundreds. */
+const MAX_KEYS_LOGGED = 10;
 
-const fieldsOf = (change: BeliefChange): LogFields => {
+const logFieldsOf = (change: BeliefChange): LogFields => {
   switch (change.kind) {
     case 'configuration':
       return {
@@ -23,9 +23,9 @@
         epoch: change.epoch,
         revision: change.revision,
         followed: change.followed,
-        missing: change.missing.slice(0, KEYS_SHOWN),
+        missing: change.missing.slice(0, MAX_KEYS_LOGGED),
         missingCount: change.missing.length,
-        outdated: change.outdated.slice(0, KEYS_SHOWN).map(({ key }) => key),
+        outdated: change.outdated.slice(0, MAX_KEYS_LOGGED).map(({ key }) => key),
         outdatedCount: change.outdated.length,
       };
     default:
@@ -33,9 +33,9 @@
   }
 };
 
-/** Logs every change of belief from now on. */
-export const logBeliefs = (beliefs: Beliefs, log: DecisionLog): void => {
+/** Subscribes to state changes and logs each one. */
+export const logStateChanges = (beliefs: Beliefs, log: DecisionLog): void => {
   beliefs.changes.subscribe((change) =>
-    log.write('belief', undefined, { ...fieldsOf(change), change: change.kind }),
+    log.write('belief', undefined, { ...logFieldsOf(change), change: change.kind }),
   );
 };
--- a/packages/gateway/src/wireNames.ts
+++ b/packages/gateway/src/wireNames.ts
@@ -1,68 +1,68 @@
 /**
- * What the gateway needs to know of how callers and targets speak. The
- * adapter supplies it, so that no header, path or body format stands here.
+ * Interface to the wire protocol of callers and targets. A platform adapter
+ * implements it, so that the gateway hard-codes no header, path or body format.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Credentials } from '@cardamomladder/customers';
 import type { SocketAddress } from '@cardamomladder/types';
 
-/** Where callers prove themselves (RFC 9110, 11.6.2); never passed on where customers have keys. */
+/** The header with the caller's credentials (RFC 9110, 11.6.2); not forwarded if customers have keys. */
 export const CREDENTIALS_HEADER = 'authorization';
 
 /** Header names, in lower case. */
 export interface HeaderNames {
-  /** The caller's id of one attempt; targets echo it. */
+  /** The caller's id for one attempt; targets echo it. */
   requestId: string;
-  /** How many ms the sender will wait. */
+  /** How long the sender waits for a response, in ms. */
   waitMs: string;
-  /** Names the object a request is about. */
+  /** Key of the object that a request refers to. */
   objectKey: string;
-  /** Proves that an answer is the target's. */
+  /** Signature that proves that a response comes from the target. */
   signature: string;
-  /** The only target that may run the request. */
+  /** The only target that may execute the request. */
   onlyTarget: string;
-  /** A target's statement that it did not run the request. */
+  /** Set by a target that did not execute the request. */
   notRun: string;
-  /** Tells a target whose request it is; set by the gateway alone where customers have keys. */
+  /** The customer that a request belongs to; only the gateway sets it if customers have keys. */
   customer: string;
 }
 
-/** What a target said of its load. */
+/** Load reported by a target. */
 export interface LoadReport {
   running: number;
   waiting: number;
   slots: number;
 }
 
-/** What a target says of itself in an answer. */
+/** Status that a target reports about itself in a response. */
 export interface TargetStatement {
   load?: LoadReport;
-  /** Requests per second that it takes from all instances together; unset where it names no limit. */
+  /** Requests per second that it accepts from all instances together; unset if it declares no limit. */
   limitPerSecond?: number;
   leaving?: boolean;
-  /** For how long it wants no requests from this instance, ms; only refusals say so. */
+  /** For how long this instance should send it no requests, in ms; only present in rejections. */
   restMs?: number;
 }
 
-/** Where a caller stands that asks the directory. */
+/** Location of a caller that queries the directory. */
 export interface DirectoryQuestion {
   failureDomain: string;
   region: string;
 }
 
-/** How callers and targets speak. */
+/** Wire protocol of callers and targets. */
 export interface Wire {
   headers: HeaderNames;
-  /** Reads what a target says of itself from an answer's status and headers. */
+  /** Parses a target's status from a response's status code and headers. */
   statementOf: (status: number, headers: IncomingHttpHeaders) => TargetStatement;
-  /** Reads the credentials from all the values that their header has in one request. */
+  /** Parses the credentials from all values of the credentials header in one request. */
   credentialsOf: (values: readonly string[]) => Credentials;
-  /** Names the scheme of credentials to a caller without valid ones. */
+  /** Authentication scheme named in the challenge to a caller without valid credentials. */
   keyScheme: string;
   /** Path of the readiness check. */
   readinessPath: string;
-  /** Reads a directory question; undefined when the path is not the directory's. */
+  /** Parses a directory query; undefined if the path is not the directory's. */
   directoryQuestion: (url: URL) => DirectoryQuestion | undefined;
-  /** Writes a directory answer: where to connect, and for how long to keep it. */
+  /** Formats a directory response: the addresses to connect to and their TTL. */
   directoryAnswer: (addresses: SocketAddress[], ttlSeconds: number) => string;
 }
