--- a/packages/gateway/src/server/callerServer.ts
+++ b/packages/gateway/src/server/callerServer.ts
@@ -84,9 +84,8 @@
   };
   const readBodyIfPresent = async (
     req: IncomingMessage,
-    maxBytes: number,
-  ): Promise<Buffer | undefined | 'too-large'> =>
-    hasBody(req) ? readBody(req, maxBytes) : undefined;
+    max: number,
+  ): Promise<Buffer | undefined | 'too-large'> => (hasBody(req) ? readBody(req, max) : undefined);
 
   const recordOutcome = (request: CallerRequest, outcome: ServeOutcome): void => {
     const ms = now() - request.arrivedAt;
