--- a/packages/settings/src/__tests__/instanceSettings.test.ts
+++ b/packages/settings/src/__tests__/instanceSettings.test.ts
@@ -1,8 +1,8 @@
-/** Instance settings: what is wrong is named with what to do about it. */
+/** Validation of instance settings: error messages name each invalid field and how to fix it. */
 import { describe, expect, it } from 'vitest';
 import { parseInstanceSettings } from '..';
 
-const good = {
+const validSettings = {
   instance: { id: 'north-1', ip: '127.0.0.1', failureDomain: 'north-a', region: 'north' },
   listen: {
     callers: '127.0.0.1:1',
@@ -22,25 +22,25 @@
     directoryTtlSeconds: 5,
   },
 };
-const messageOf = (value: unknown) =>
+const parseResult = (value: unknown) =>
   parseInstanceSettings(typeof value === 'string' ? value : JSON.stringify(value), 'file').match(
     (settings) => settings,
     (failure) => failure.message,
   );
 
 describe('instance settings', () => {
-  it('fill in defaults and ignore fields they do not know', () => {
-    expect(messageOf({ ...good, newField: 1 })).toMatchSnapshot();
+  it('applies defaults and ignores unknown fields', () => {
+    expect(parseResult({ ...validSettings, newField: 1 })).toMatchSnapshot();
   });
 
-  it('name every bad field', () => {
-    const bad = {
-      ...good,
-      listen: { ...good.listen, callers: 'here' },
+  it('reports every invalid field', () => {
+    const invalidSettings = {
+      ...validSettings,
+      listen: { ...validSettings.listen, callers: 'here' },
       store: {},
-      bounds: { ...good.bounds, graceSeconds: 0, coldSlack: 'much' },
+      bounds: { ...validSettings.bounds, graceSeconds: 0, coldSlack: 'much' },
     };
-    expect(messageOf(bad)).toMatchSnapshot();
-    expect(messageOf('{"instance":')).toContain('is not JSON');
+    expect(parseResult(invalidSettings)).toMatchSnapshot();
+    expect(parseResult('{"instance":')).toContain('is not JSON');
   });
 });
--- a/packages/settings/src/jsonText.ts
+++ b/packages/settings/src/jsonText.ts
@@ -1,10 +1,9 @@
-/** Parses JSON text; a syntax error becomes a typed failure that names the source. */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { Failure, FailureKind } from '@cardamomladder/types';
 import { failure } from '@cardamomladder/types';
 
-/** The value of `text`, or a failure of `kind` that says where the syntax is wrong. */
+/** Parses JSON text; a syntax error is returned as a failure of `kind` that names `source` and the position. */
 export const parseJsonText = (
   text: string,
   source: string,
--- a/packages/settings/src/settingsFile.ts
+++ b/packages/settings/src/settingsFile.ts
@@ -1,4 +1,4 @@
-/** Reading a settings file against its schema, all or nothing, whichever settings they are. */
+/** Reads and validates a settings file with a given schema; a file with any invalid field is rejected as a whole. */
 import { readFile } from 'node:fs/promises';
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
@@ -7,8 +7,8 @@
 import { describeIssues, failure } from '@cardamomladder/types';
 import { parseJsonText } from './jsonText';
 
-/** Validates a parsed value; the failure names every bad field of `source`. */
-export const validateAgainst = <S extends z.ZodType>(
+/** Validates a parsed value; the failure lists every invalid field and names `source`. */
+export const validateAgainstSchema = <S extends z.ZodType>(
   schema: S,
   value: unknown,
   source: string,
@@ -23,18 +23,18 @@
   );
 };
 
-/** Parses settings text and validates it. */
-export const parseAgainst = <S extends z.ZodType>(
+/** Parses JSON settings text and validates it with `schema`. */
+export const parseWithSchema = <S extends z.ZodType>(
   schema: S,
   text: string,
   source: string,
 ): Result<z.output<S>, Failure> =>
   parseJsonText(text, source, 'settings-invalid').andThen((value) =>
-    validateAgainst(schema, value, source),
+    validateAgainstSchema(schema, value, source),
   );
 
-/** Reads a settings file and validates it. */
-export const loadAgainst = async <S extends z.ZodType>(
+/** Reads a JSON settings file and validates it with `schema`. */
+export const loadWithSchema = async <S extends z.ZodType>(
   schema: S,
   file: string,
 ): Promise<Result<z.output<S>, Failure>> => {
@@ -49,5 +49,5 @@
       ),
     );
   }
-  return parseAgainst(schema, text, file);
+  return parseWithSchema(schema, text, file);
 };
