--- a/packages/telemetry/src/__tests__/logs.test.ts
+++ b/packages/telemetry/src/__tests__/logs.test.ts
@@ -1,36 +1,36 @@
-/** Logs stay bounded and never block. */
+/** Logging is bounded and does not block the process. */
 import { describe, expect, it } from 'vitest';
-import { BATCH_MS, lineLimit, lineWriter } from '..';
+import { BATCH_INTERVAL_MS, lineLimit, lineWriter } from '..';
 
 const sleep = (ms: number) =>
   new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
 
-describe('the line writer', () => {
-  it('drops and counts lines while the reader has stopped, and says so once it reads again', async () => {
-    // Symptom: requests hang when a log reader stops. Sequence: the pipe
-    // fills, the next write waits. Cause: log lines were written in place.
+describe('lineWriter', () => {
+  it('drops and counts lines while the reader is blocked, and reports the count when it resumes', async () => {
+    // Guards against requests that hang when the log reader stops: with
+    // synchronous writes, the pipe fills up and the next write blocks.
     const written: string[] = [];
-    let release: (() => void) | undefined;
+    let completeWrite: (() => void) | undefined;
     const writer = lineWriter((text, done) => {
       written.push(text);
-      release = () => done();
+      completeWrite = () => done();
     }, 100);
     writer.write('first');
-    await sleep(BATCH_MS * 1.5);
+    await sleep(BATCH_INTERVAL_MS * 1.5);
     for (let i = 0; i < 50; i += 1) writer.write(`line ${i}`);
     expect(writer.dropped()).toBeGreaterThan(30);
-    release?.();
-    await sleep(BATCH_MS * 2);
+    completeWrite?.();
+    await sleep(BATCH_INTERVAL_MS * 2);
     expect(written[0]).toBe('first\n');
     expect(written[1]).toContain(`"dropped":${writer.dropped()}`);
     expect(written[1].length).toBeLessThan(300);
   });
 });
 
-describe('the line limit', () => {
-  it('admits so many lines of a kind each second and counts what it left out', () => {
+describe('logRateLimiter', () => {
+  it('admits a limited number of lines per kind and second and reports how many were suppressed', () => {
     const limit = lineLimit((kind) => (kind === 'rare' ? 1 : 2));
     const admitted = [
       limit.admit('a', 0),
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/entryMetrics.ts
@@ -1,13 +1,13 @@
 /**
- * Metrics through prom-client. Each daemon owns one registry so that several
- * daemons in one process (the demo, the tests) do not share counters.
+ * Prometheus metrics of the entry daemon. Each daemon has its own registry, so
+ * that several daemons in one process (demo, tests) do not share counters.
  */
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client';
 
-/** Latency buckets in seconds: 1 ms to 10 s, dense where lookups land. */
+/** Latency buckets in seconds: 1 ms to 10 s, finest in the typical range of lookups. */
 const LATENCY_BUCKETS = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10];
 
-/** The metrics an entry daemon exports on `/metrics`. */
+/** Metrics that an entry daemon exports on `/metrics`. */
 export interface EntryMetrics {
   registry: Registry;
   requestSeconds: Histogram<'service' | 'outcome'>;
@@ -21,7 +21,7 @@
   storeCalls: Counter<'call'>;
 }
 
-/** Creates a registry with the entry daemon's metrics; `defaults` adds process metrics. */
+/** Creates a registry with the entry daemon's metrics; `defaults` adds the Node.js process metrics. */
 export const entryMetrics = (defaults = false): EntryMetrics => {
   const registry = new Registry();
   if (defaults) collectDefaultMetrics({ register: registry });
--- a/packages/telemetry/src/gatewayMetrics.ts
+++ b/packages/telemetry/src/gatewayMetrics.ts
@@ -1,28 +1,28 @@
 /**
- * The metrics of one instance. Labels are kinds and reasons, never names of
- * routes, services or targets, and names of the first customers only, so that
- * the page stays small at any size.
+ * Prometheus metrics of one gateway instance. Labels hold kinds and reasons,
+ * never names of routes, services or targets, and names of a limited number of
+ * customers, so that the metrics page stays small in deployments of any size.
  */
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client';
-import { boundedLabels } from './boundedLabels';
+import { limitCardinality } from './limitCardinality';
 
-/** Latency buckets in seconds, from an instant refusal to the longest deadline. */
+/** Latency buckets in seconds, from an immediate rejection to the longest deadline. */
 const LATENCY_BUCKETS = [0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2, 4, 8];
 
-/** Customers that have a label of their own. */
-const CUSTOMERS_MOST = 50;
+/** Number of customers with a label of their own. */
+const MAX_CUSTOMER_LABELS = 50;
 
-/** What an instance counts. */
+/** Metrics that a gateway instance exports. */
 export interface GatewayMetrics {
   registry: Registry;
   requestSeconds: Histogram<'kind' | 'outcome'>;
   rejections: Counter<'reason'>;
   customerRequests: Counter<'customer' | 'outcome'>;
-  /** The label of a customer: its name, or one for all beyond a number of them. */
+  /** Returns the label of a customer: its name, or a shared label beyond `MAX_CUSTOMER_LABELS`. */
   customerLabel: (name: string) => string;
   attempts: Counter<'result'>;
   repeats: Counter<'granted'>;
-  /** Crashes of targets under requests of this instance. */
+  /** Targets that crashed while processing requests of this instance. */
   targetCrashes: Counter;
   storeReached: Gauge;
   storeEpoch: Gauge;
@@ -34,7 +34,7 @@
   loopDelay: Gauge;
 }
 
-/** Creates the metrics of one instance; `defaults` adds those of the process. */
+/** Creates a registry with the metrics of one instance; `defaults` adds the Node.js process metrics. */
 export const gatewayMetrics = (defaults: boolean): GatewayMetrics => {
   const registry = new Registry();
   if (defaults) collectDefaultMetrics({ register: registry });
@@ -58,7 +58,7 @@
       "Customers' requests, by outcome; the first customers by name.",
       ['customer', 'outcome'],
     ),
-    customerLabel: boundedLabels(CUSTOMERS_MOST),
+    customerLabel: limitCardinality(MAX_CUSTOMER_LABELS),
     attempts: counter('target_attempts_total', 'Sends to targets, by result.', ['result']),
     repeats: counter('repeats_total', 'Repeated sends asked of the budget.', ['granted']),
     targetCrashes: counter(
--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,11 +1,11 @@
 export type { LogFields, Logger } from './log';
 export { enableLogs, logToStandardOutput, logger } from './log';
-export type { LineLimit } from './lineLimit';
-export { lineLimit } from './lineLimit';
+export type { LogRateLimiter } from './logRateLimiter';
+export { lineLimit } from './logRateLimiter';
 export type { LineWriter, Sink } from './lineWriter';
-export { BATCH_MS, lineWriter } from './lineWriter';
+export { BATCH_INTERVAL_MS, lineWriter } from './lineWriter';
 export type { GatewayMetrics } from './gatewayMetrics';
 export { gatewayMetrics } from './gatewayMetrics';
-export type { EntryMetrics } from './metrics';
-export { entryMetrics } from './metrics';
+export type { EntryMetrics } from './entryMetrics';
+export { entryMetrics } from './entryMetrics';
 export { extractContext, injectContext, installTracing, tracer } from './trace';
--- a/packages/telemetry/src/lineWriter.ts
+++ b/packages/telemetry/src/lineWriter.ts
@@ -1,81 +1,81 @@
 /**
- * Writes log lines without ever blocking the loop. Node writes to a pipe
- * synchronously, so a log reader that stops reading would stop the process;
- * here lines wait in a bounded buffer, are written in batches by an
- * asynchronous call, and are dropped and counted once the buffer is full.
+ * Writes log lines without blocking the event loop. Node.js writes to pipes
+ * synchronously, so a log reader that stops reading would block the process.
+ * Lines are therefore held in a bounded buffer and written asynchronously in
+ * batches; when the buffer is full, lines are dropped and counted.
  */
 import { write } from 'node:fs';
 import { Socket } from 'node:net';
 
-/** Most bytes that wait to be written: about a thousand lines. */
-export const BUFFER_MOST_BYTES = 256 * 1024;
-/** How long lines wait for others to share a write, ms. */
-export const BATCH_MS = 200;
+/** Maximum size of the buffer in bytes: about a thousand lines. */
+export const MAX_BUFFER_BYTES = 256 * 1024;
+/** Time for which lines are collected into one write, ms. */
+export const BATCH_INTERVAL_MS = 200;
 
-/** Writes bytes to where logs go; calls back when done. */
+/** Writes text to the log destination and calls `done` when the write has finished. */
 export type Sink = (text: string, done: (error?: Error | null) => void) => void;
 
 /** A bounded, non-blocking writer of lines. */
 export interface LineWriter {
   write: (line: string) => void;
-  /** Lines dropped so far. */
+  /** Returns the number of lines dropped so far. */
   dropped: () => number;
-  /** Writes what still waits; resolves when it is out, or after `BATCH_MS` if the reader is stuck. */
+  /** Writes the buffered lines; resolves when they are written, or after `BATCH_INTERVAL_MS` if the reader is blocked. */
   flush: () => Promise<void>;
 }
 
 /**
- * A sink over a file descriptor. A pipe or socket is written by the event
- * loop once it has room; anything else (a file) by the thread pool.
+ * Creates a sink for a file descriptor. Pipes and sockets are written by the
+ * event loop when they are writable; anything else (a file) by the thread pool.
  */
 export const descriptorSink = (fd: number): Sink => {
   try {
     const socket = new Socket({ fd, readable: false, writable: true });
     socket.unref();
     socket.on('error', () => {
-      // The reader is gone; each write reports it and its lines count as dropped.
+      // The reader has closed its end; every write reports the error and counts as dropped.
     });
     return (text, done) => {
       socket.write(text, done);
     };
   } catch {
-    // Not a pipe or socket: Node refuses to wrap it.
+    // Not a pipe or socket: the Socket constructor throws.
     return (text, done) => {
       write(fd, text, (error) => done(error));
     };
   }
 };
 
-/** Starts a writer over `sink`. */
-export const lineWriter = (sink: Sink, mostBytes = BUFFER_MOST_BYTES): LineWriter => {
-  let waiting: string[] = [];
-  let bytes = 0;
+/** Creates a writer that buffers up to `maxBytes` and writes to `sink`. */
+export const lineWriter = (sink: Sink, maxBytes = MAX_BUFFER_BYTES): LineWriter => {
+  let pendingLines: string[] = [];
+  let pendingBytes = 0;
   let droppedLines = 0;
-  let reported = 0;
+  let reportedDrops = 0;
   let writing = false;
   let timer: NodeJS.Timeout | undefined;
 
   const schedule = (): void => {
-    if (timer || writing || waiting.length === 0) return;
-    timer = setTimeout(flush, BATCH_MS);
+    if (timer || writing || pendingLines.length === 0) return;
+    timer = setTimeout(flush, BATCH_INTERVAL_MS);
     timer.unref();
   };
-  const takeRest = (): string => {
-    if (droppedLines > reported) {
-      waiting.push(
-        `{"level":"warn","message":"log lines dropped: the reader is too slow","dropped":${droppedLines - reported}}\n`,
+  const takePending = (): string => {
+    if (droppedLines > reportedDrops) {
+      pendingLines.push(
+        `{"level":"warn","message":"log lines dropped: the reader is too slow","dropped":${droppedLines - reportedDrops}}\n`,
       );
-      reported = droppedLines;
+      reportedDrops = droppedLines;
     }
-    const text = waiting.join('');
-    waiting = [];
-    bytes = 0;
+    const text = pendingLines.join('');
+    pendingLines = [];
+    pendingBytes = 0;
     return text;
   };
   function flush(): void {
     timer = undefined;
     writing = true;
-    sink(takeRest(), (error) => {
+    sink(takePending(), (error) => {
       writing = false;
       if (error) droppedLines += 1;
       schedule();
@@ -84,19 +84,19 @@
 
   return {
     write: (line) => {
-      if (bytes + line.length > mostBytes) {
+      if (pendingBytes + line.length > maxBytes) {
         droppedLines += 1;
         return;
       }
-      waiting.push(`${line}\n`);
-      bytes += line.length + 1;
+      pendingLines.push(`${line}\n`);
+      pendingBytes += line.length + 1;
       schedule();
     },
     dropped: () => droppedLines,
     flush: () =>
       new Promise((resolve) => {
-        setTimeout(resolve, BATCH_MS);
-        sink(takeRest(), () => resolve());
+        setTimeout(resolve, BATCH_INTERVAL_MS);
+        sink(takePending(), () => resolve());
       }),
   };
 };
--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -1,7 +1,8 @@
 /**
- * Structured logs: every line is one JSON object, on standard error unless
- * `logToStandardOutput` was called. `debug` decides which namespaces are on
- * (settings `log` or the DEBUG variable); this module only shapes the line.
+ * Structured logging: every line is one JSON object, written to standard error
+ * unless `logToStandardOutput` was called. The `debug` package decides which
+ * namespaces are enabled (`log` setting or DEBUG variable); this module formats
+ * the lines.
  */
 import createDebug from 'debug';
 import type { LineWriter } from './lineWriter';
@@ -17,36 +18,36 @@
   error: (message: string, fields?: LogFields) => void;
 }
 
-const ROOT = 'cardamomladder';
+const ROOT_NAMESPACE = 'cardamomladder';
 
-// debug prefixes lines with the namespace and a colour code unless told not
-// to; a prefixed line is no longer JSON and breaks every log shipper.
+// By default, `debug` prefixes lines with the namespace and a colour code. A
+// prefixed line is not valid JSON and breaks log shippers.
 createDebug.formatArgs = function formatArgs() {};
 createDebug.log = (line: string) => {
   process.stderr.write(`${line}\n`);
 };
 
-const STANDARD_OUTPUT = 1;
+const STDOUT_FD = 1;
 
-/** Sends all log lines to standard output without blocking; returns the writer for its counters. */
+/** Redirects all log lines to standard output through a non-blocking writer, which is returned for its drop counter. */
 export const logToStandardOutput = (): LineWriter => {
-  const writer = lineWriter(descriptorSink(STANDARD_OUTPUT));
+  const writer = lineWriter(descriptorSink(STDOUT_FD));
   createDebug.log = (line: string) => writer.write(line);
   return writer;
 };
 
-/** Turns namespaces on, in `debug` syntax (e.g. `cardamomladder:*,-cardamomladder:trace`). */
+/** Enables log namespaces, in `debug` syntax (e.g. `cardamomladder:*,-cardamomladder:trace`). */
 export const enableLogs = (namespaces: string): void => {
   createDebug.enable(namespaces);
 };
 
-/** Returns a logger for `cardamomladder:<name>`. */
+/** Creates a logger for the namespace `cardamomladder:<name>`. */
 export const logger = (name: string): Logger => {
-  const namespace = `${ROOT}:${name}`;
-  const sink = createDebug(namespace);
+  const namespace = `${ROOT_NAMESPACE}:${name}`;
+  const debug = createDebug(namespace);
   const write = (level: string, message: string, fields: LogFields = {}) => {
-    if (!sink.enabled) return;
-    sink(
+    if (!debug.enabled) return;
+    debug(
       JSON.stringify({ time: new Date().toISOString(), level, ns: namespace, message, ...fields }),
     );
   };
--- a/packages/telemetry/src/lineLimit.ts
+++ b/packages/telemetry/src/logRateLimiter.ts
@@ -1,24 +1,24 @@
 /**
- * Keeps the number of log lines bounded under load: each kind of line has a
- * rate, and what goes over it is counted and said in the next line of that
- * kind, so that a reader knows that lines are missing.
+ * Bounds the log volume under load. Each kind of line has a rate limit;
+ * suppressed lines are counted, and the next line of that kind reports the
+ * count, so that readers can tell that lines are missing.
  */
 
-/** Decides whether a line of a kind may be written now. */
-export interface LineLimit {
-  /** Undefined: write nothing. Otherwise how many lines of the kind were left out before this one. */
+/** Decides whether a log line of a given kind may be written now. */
+export interface LogRateLimiter {
+  /** Returns undefined if the line is suppressed, else the number of lines of the kind suppressed since the last one written. */
   admit: (kind: string, now: number) => number | undefined;
 }
 
-interface KindState {
+interface RateWindow {
   second: number;
   written: number;
   leftOut: number;
 }
 
-/** A limit of `perSecond(kind)` lines in each second. */
-export const lineLimit = (perSecond: (kind: string) => number): LineLimit => {
-  const kinds = new Map<string, KindState>();
+/** Creates a limiter that admits `perSecond(kind)` lines of a kind per second. */
+export const lineLimit = (perSecond: (kind: string) => number): LogRateLimiter => {
+  const kinds = new Map<string, RateWindow>();
   return {
     admit: (kind, now) => {
       const second = Math.floor(now / 1000);
--- a/packages/telemetry/src/trace.ts
+++ b/packages/telemetry/src/trace.ts
@@ -1,8 +1,8 @@
 /**
- * Traces: one span per hop (caller -> entry, entry -> target attempt,
- * entry -> platform). Context crosses processes in the W3C `traceparent`
- * header. Finished spans are written as JSON lines on the
- * `cardamomladder:trace` namespace, so they go where the logs go.
+ * Distributed tracing: one span per hop (caller -> entry, entry -> target
+ * attempt, entry -> platform). The trace context is propagated in the W3C
+ * `traceparent` header. Finished spans are logged as JSON lines in the
+ * `cardamomladder:trace` namespace, next to the other logs.
  */
 import type { Context, Span, Tracer } from '@opentelemetry/api';
 import { context, propagation, trace } from '@opentelemetry/api';
@@ -34,7 +34,7 @@
 
 let installed = false;
 
-/** Installs the process-wide tracer provider once; later calls do nothing. */
+/** Installs the process-wide tracer provider; repeated calls have no effect. */
 export const installTracing = (): void => {
   if (installed) return;
   installed = true;
@@ -45,14 +45,14 @@
   propagation.setGlobalPropagator(new W3CTraceContextPropagator());
 };
 
-/** The tracer for one package, e.g. `tracer('entry')`. */
+/** Returns the tracer of a package, e.g. `tracer('entry')`. */
 export const tracer = (name: string): Tracer => trace.getTracer(`cardamomladder.${name}`);
 
-/** Reads the caller's trace context from incoming headers. */
+/** Extracts the caller's trace context from request headers. */
 export const extractContext = (headers: IncomingHttpHeaders): Context =>
   propagation.extract(context.active(), headers);
 
-/** Writes the span's context into outgoing headers. */
+/** Injects the span's trace context into request headers. */
 export const injectContext = (span: Span, headers: OutgoingHttpHeaders): void => {
   propagation.inject(trace.setSpan(context.active(), span), headers);
 };
