--- a/packages/load/src/__fixtures__/lookups.ts
+++ b/packages/load/src/__fixtures__/lookups.ts
@@ -1,22 +1,28 @@
-/** Lookups on 18 targets at half of their slots, the same in every region. */
-import type { PlayedLoadOptions } from '..';
-import { productRule } from '..';
+/** Lookup load that uses half of the slots of 18 targets, equal in every region. */
+import type { LoadSimulationOptions } from '..';
+import { productionPolicy } from '..';
 
-/** Slots of each target. */
+/** Number of slots of each target. */
 export const SLOTS = 6;
 
-/** The load, but for its seed and what happens to the targets. */
-export const LOOKUPS: Omit<PlayedLoadOptions, 'seed'> = {
+/** Simulation options without the seed and without faults. */
+export const LOOKUPS: Omit<LoadSimulationOptions, 'seed'> = {
   targetsPerRegion: { rvk: 6, aey: 6, egs: 6 },
-  target: { slots: SLOTS, queue: 18, workMs: 480, warmGain: 0.6, remembers: 60 },
+  target: {
+    slots: SLOTS,
+    queueCapacity: 18,
+    serviceTimeMs: 480,
+    cacheSavings: 0.6,
+    cacheCapacity: 60,
+  },
   objectsPerRegion: 120,
   rate: () => 50,
-  lengthMs: 16_000,
+  durationMs: 16_000,
   objectiveMs: 400,
   deadlineMs: 2500,
-  betweenRegionsMs: 20,
-  rule: productRule,
+  interRegionDelayMs: 20,
+  policy: productionPolicy,
 };
 
-/** True for so large a part of the targets, by their numbers, in every region alike. */
-export const isAmong = (target: number, part: number): boolean => target % 6 < part * 6;
+/** Selects a `share` of the targets by index, the same share in every region. */
+export const isAffected = (target: number, share: number): boolean => target % 6 < share * 6;
--- a/packages/load/src/__tests__/limitedTargets.test.ts
+++ b/packages/load/src/__tests__/limitedTargets.test.ts
@@ -1,65 +1,71 @@
-/** Lookups while some targets are in need and name a limit, in virtual time: what callers and targets get. */
+/** Lookups while some targets are overloaded and signal a rate limit, simulated in virtual time. */
 import { describe, expect, it } from 'vitest';
-import { mostInWindow, playLoad } from '..';
-import { LOOKUPS, SLOTS, isAmong } from '../__fixtures__/lookups';
+import { mostInWindow, simulateLoad } from '..';
+import { LOOKUPS, SLOTS, isAffected } from '../__fixtures__/lookups';
 
-const IN_NEED_FROM_MS = 4000;
-const IN_NEED_TO_MS = 14_000;
-const BINDS_MS = 3000;
+const LIMITED_FROM_MS = 4000;
+const LIMITED_TO_MS = 14_000;
+const SETTLING_MS = 3000;
 const WINDOW_MS = 4000;
 const LIMIT = 2;
 const TOLERATED = LIMIT * (WINDOW_MS / 1000) * 1.5 + 5;
 
-/** 18 targets at half of their slots; a part of them works with one slot and names its limit for ten seconds. */
-const lookups = (seed: number, part: number, instancesPerRegion: number, heedsTargets: boolean) => {
+/** Uses half of the slots of 18 targets; a share of the targets works with one slot and signals a limit for ten seconds. */
+const lookups = (
+  seed: number,
+  share: number,
+  instancesPerRegion: number,
+  honorsTargetSignals: boolean,
+) => {
   const arrivals = new Map<number, number[]>();
-  const inNeed = (target: number) => isAmong(target, part);
-  const report = playLoad({
+  const isLimited = (target: number) => isAffected(target, share);
+  const report = simulateLoad({
     seed,
     ...LOOKUPS,
     instancesPerRegion,
-    heedsTargets,
+    honorsTargetSignals,
     onArrival: (target, at) => {
-      const binds = at > IN_NEED_FROM_MS + BINDS_MS && at < IN_NEED_TO_MS;
-      if (binds && inNeed(target)) arrivals.set(target, [...(arrivals.get(target) ?? []), at]);
+      const isCounted = at > LIMITED_FROM_MS + SETTLING_MS && at < LIMITED_TO_MS;
+      if (isCounted && isLimited(target))
+        arrivals.set(target, [...(arrivals.get(target) ?? []), at]);
     },
     disturb: (at, targets) =>
       targets.forEach((target, i) => {
-        const now = inNeed(i) && at >= IN_NEED_FROM_MS && at < IN_NEED_TO_MS;
-        target.openSlots = now ? 1 : SLOTS;
+        const now = isLimited(i) && at >= LIMITED_FROM_MS && at < LIMITED_TO_MS;
+        target.availableSlots = now ? 1 : SLOTS;
         target.limitPerSecond = now ? LIMIT : undefined;
       }),
   });
-  const worst = Math.max(
+  const maxArrivals = Math.max(
     0,
     ...[...arrivals.values()].map((times) => mostInWindow(times, WINDOW_MS)),
   );
-  return { report, worst };
+  return { report, maxArrivals };
 };
 
-describe('while targets name a limit', () => {
+describe('while targets signal a rate limit', () => {
   it.each([
     [1 / 6, 3],
     [1 / 3, 3],
     [1 / 3, 20],
   ])(
-    'they get no more than it, and callers more; %d of them, %d instances a region',
-    (part, instances) => {
-      // Guards against instances that press on targets in need, at the price of their callers.
-      const pressing = lookups(1, part, instances, false);
-      const heeding = lookups(1, part, instances, true);
+    'the limit is kept and callers earn more credit; %d of the targets limited, %d instances per region',
+    (share, instances) => {
+      // Guards against instances that keep overloading limited targets at the expense of their callers.
+      const ignoring = lookups(1, share, instances, false);
+      const honoring = lookups(1, share, instances, true);
       console.log(
-        `${part.toFixed(2)}, ${instances}: credit ${heeding.report.credit.toFixed(3)} (${pressing.report.credit.toFixed(3)} without), refused ${heeding.report.refused} (${pressing.report.refused}), most in 4 s ${heeding.worst} (${pressing.worst}) of ${TOLERATED}`,
+        `${share.toFixed(2)}, ${instances}: credit ${honoring.report.credit.toFixed(3)} (${ignoring.report.credit.toFixed(3)} without), rejected ${honoring.report.rejected} (${ignoring.report.rejected}), most in 4 s ${honoring.maxArrivals} (${ignoring.maxArrivals}) of ${TOLERATED}`,
       );
-      expect(pressing.worst).toBeGreaterThan(TOLERATED);
-      expect(heeding.worst).toBeLessThanOrEqual(TOLERATED);
-      expect(heeding.report.credit).toBeGreaterThan(pressing.report.credit);
+      expect(ignoring.maxArrivals).toBeGreaterThan(TOLERATED);
+      expect(honoring.maxArrivals).toBeLessThanOrEqual(TOLERATED);
+      expect(honoring.report.credit).toBeGreaterThan(ignoring.report.credit);
     },
   );
 
-  it('nobody gets less from it on a calm day', () => {
-    const pressing = lookups(2, 0, 3, false);
-    const heeding = lookups(2, 0, 3, true);
-    expect(heeding.report).toEqual(pressing.report);
+  it('honouring limits changes nothing when no target signals one', () => {
+    const ignoring = lookups(2, 0, 3, false);
+    const honoring = lookups(2, 0, 3, true);
+    expect(honoring.report).toEqual(ignoring.report);
   });
 });
--- a/packages/load/src/index.ts
+++ b/packages/load/src/index.ts
@@ -1,9 +1,12 @@
-export { mostInWindow } from './mostInWindow';
-export type { LoadPlan, LoadReport, Mix, ServiceReport } from './run';
+export { mostInWindow } from './maxInWindow';
+export type { LoadPlan, LoadReport, ServiceReport, ServiceWeight } from './run';
 export { runLoad } from './run';
-export type { PlayedLoadOptions, PlayedReport } from './player/play';
-export { playLoad, seeded } from './player/play';
-export type { PlacingRule } from './player/placingRules';
-export { anyWithRoom, productRule } from './player/placingRules';
-export type { CrashPlayReport, PlayedCrashes } from './player/crashOptions';
-export { playCrashes } from './player/crashes';
+export type { LoadSimulationOptions, LoadSimulationReport } from './simulation/loadSimulation';
+export { seeded, simulateLoad } from './simulation/loadSimulation';
+export type { PlacementPolicy } from './simulation/placementPolicies';
+export { leastBusyPolicy, productionPolicy } from './simulation/placementPolicies';
+export type {
+  CrashSimulationReport,
+  CrashSimulationOptions,
+} from './simulation/crashSimulationOptions';
+export { simulateCrashes } from './simulation/crashSimulation';
--- a/packages/load/src/run.ts
+++ b/packages/load/src/run.ts
@@ -1,33 +1,34 @@
 /**
- * The load tool: many callers sending requests through entries for a fixed
- * time, each waiting for its answer before the next (closed loop), with
- * latencies in HDR histograms. Bounded in count and time, on loopback.
+ * Load generator: concurrent callers send requests through entries for a fixed
+ * time in a closed loop (each waits for a response before its next request).
+ * Latencies are recorded in HDR histograms. Runs on loopback, bounded in time
+ * and, optionally, in the number of requests.
  */
 import * as hdr from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 import type { CallResult, EntryAddress } from '@cardamomladder/callers';
 import { Caller } from '@cardamomladder/callers';
 
-/** One service's share of the load. */
-export interface Mix {
+/** Relative weight of one service in the load. */
+export interface ServiceWeight {
   service: string;
   weight: number;
   idempotent: boolean;
 }
 
-/** How to drive the load. */
+/** Configuration of a load run. */
 export interface LoadPlan {
   entries: EntryAddress[];
-  mix: Mix[];
-  /** Callers sending at once. */
+  mix: ServiceWeight[];
+  /** Number of concurrent callers. */
   concurrency: number;
   durationMs: number;
-  /** Stops earlier after this many requests. */
+  /** Ends the run early after this many requests. */
   maxRequests?: number;
   random?: () => number;
 }
 
-/** Figures for one service. */
+/** Request counts by outcome, and latencies, of one service. */
 export interface ServiceReport {
   service: string;
   requests: number;
@@ -41,7 +42,7 @@
   bytes: number;
 }
 
-/** What a run measured. */
+/** Results of a load run. */
 export interface LoadReport {
   durationMs: number;
   requests: number;
@@ -49,7 +50,7 @@
   services: ServiceReport[];
 }
 
-const pickService = (mix: Mix[], random: () => number): Mix => {
+const pickService = (mix: ServiceWeight[], random: () => number): ServiceWeight => {
   const total = mix.reduce((s, m) => s + m.weight, 0);
   let roll = random() * total;
   for (const m of mix) {
@@ -59,7 +60,7 @@
   return mix[mix.length - 1];
 };
 
-/** Runs the plan and reports per-service latency and outcomes. */
+/** Runs the load described by `plan` and reports outcomes and latencies per service. */
 export const runLoad = async (plan: LoadPlan): Promise<LoadReport> => {
   const random = plan.random ?? Math.random;
   const histograms = new Map<string, Histogram>();
@@ -75,8 +76,8 @@
     );
     counts.set(m.service, { requests: 0, ok: 0, notRun: 0, unknown: 0, transport: 0, bytes: 0 });
   });
-  const started = performance.now();
-  const until = started + plan.durationMs;
+  const startedAt = performance.now();
+  const endsAt = startedAt + plan.durationMs;
   let sent = 0;
   let sequence = 0;
   const record = (service: string, result: CallResult) => {
@@ -93,7 +94,7 @@
   const worker = async () => {
     const caller = new Caller(plan.entries, random);
     while (
-      performance.now() < until &&
+      performance.now() < endsAt &&
       (plan.maxRequests === undefined || sent < plan.maxRequests)
     ) {
       sent += 1;
@@ -110,7 +111,7 @@
     caller.close();
   };
   await Promise.all(Array.from({ length: plan.concurrency }, worker));
-  const durationMs = performance.now() - started;
+  const durationMs = performance.now() - startedAt;
   const services = plan.mix.map((m): ServiceReport => {
     const h = histograms.get(m.service) as Histogram;
     const c = counts.get(m.service) as Omit<ServiceReport, 'p50Ms' | 'p99Ms' | 'maxMs' | 'service'>;
--- /dev/null
+++ b/packages/load/src/simulation/loadSimulation.ts
@@ -0,0 +1,251 @@
+/**
+ * Simulates callers and request placement in virtual time: several instances,
+ * each with its own view of the same targets; load reports that arrive with
+ * responses; callers that retry once after a rejection. It measures what
+ * callers get without a network, deterministically for a given seed.
+ */
+import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
+import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
+import type { HeardLimit, Locality, PlacedTarget } from '@cardamomladder/steering';
+import { learnAnswerMs, overdueAfter } from '@cardamomladder/steering';
+import {
+  failureDomainName,
+  objectKey,
+  regionName,
+  serviceName,
+  targetId,
+} from '@cardamomladder/types';
+import { EventQueue } from './eventQueue';
+import type { PlacementPolicy } from './placementPolicies';
+import type { SimulatedInstance } from './simulatedInstances';
+import { simulatedInstances } from './simulatedInstances';
+import type { SimulatedTargetOptions } from './simulatedTarget';
+import { SimulatedTarget } from './simulatedTarget';
+
+/** Options of a load simulation. Rates are requests per second for the whole fleet. */
+export interface LoadSimulationOptions {
+  seed: number;
+  /** Number of targets in each region; each region is one failure domain. */
+  targetsPerRegion: Record<string, number>;
+  target: SimulatedTargetOptions;
+  objectsPerRegion: number;
+  /** Instances per region; defaults to 3. The more there are, the less often each receives a report from a target. */
+  instancesPerRegion?: number;
+  /** How strongly requests are kept in their region; defaults to `balanced`. */
+  locality?: Locality;
+  /** Skew of object popularity: the weight of the object of rank r is r to the power of -`skew`. Defaults to 0 (uniform). */
+  skew?: number;
+  /** Request rate of a region at a point in virtual time, per second. */
+  rate: (region: string, atMs: number) => number;
+  durationMs: number;
+  objectiveMs: number;
+  deadlineMs: number;
+  /** One-way network delay between regions, ms. */
+  interRegionDelayMs: number;
+  policy: PlacementPolicy;
+  /** If false, a target that has stopped responding is only detected when its requests time out. Defaults to true. */
+  detectsStalledTargets?: boolean;
+  /** If false, instances ignore the limits and pauses that targets request. Defaults to true. */
+  honorsTargetSignals?: boolean;
+  /** Called with the index of a target when a request arrives there. */
+  onArrival?: (target: number, atMs: number) => void;
+  /** Called periodically to change targets during the simulation, for example to slow some down. */
+  disturb?: (atMs: number, targets: SimulatedTarget[]) => void;
+}
+
+/** Results of a load simulation. */
+export interface LoadSimulationReport {
+  asked: number;
+  withinObjective: number;
+  late: number;
+  rejected: number;
+  /** Mean credit per request: 1 for a response within the objective, 0.2 for a late one, 0 otherwise. */
+  credit: number;
+  /** Longest time from receiving a request to rejecting it at an instance, ms. */
+  maxRejectionMs: number;
+}
+
+const LATE_CREDIT = 0.2;
+const MS_PER_SECOND = 1000;
+const INTRA_REGION_DELAY_MS = 1;
+/** A target is avoided after consecutive timeouts, with the same thresholds as in the gateway. */
+const AVOID_AFTER_FAILURES = 2;
+const INITIAL_AVOID_MS = 400;
+const MAX_AVOID_MS = 3000;
+const DISTURB_INTERVAL_MS = 250;
+
+/** Creates a deterministic generator of uniform random numbers in [0, 1). */
+export const seeded = (seed: number): (() => number) => {
+  const generator = xoroshiro128plus(seed);
+  return () => uniformFloat64(generator);
+};
+
+/** Applies the limit and the pause that a target signals in a response. */
+const applyTargetSignals = (
+  { selfReport }: PlacedTarget,
+  heard: HeardLimit,
+  pauseMs: number | undefined,
+  now: number,
+): void => {
+  selfReport.limit.hear(heard, now);
+  if (heard.ran || pauseMs === undefined) return;
+  Object.assign(selfReport, { restUntil: Math.max(selfReport.restUntil, now + pauseMs) });
+};
+
+/** Returns a function that samples object indices with the configured skew. */
+const objectSampler = (
+  { objectsPerRegion, skew = 0 }: LoadSimulationOptions,
+  random: () => number,
+) => {
+  const cumulativeWeights: number[] = [];
+  for (let i = 0; i < objectsPerRegion; i += 1)
+    cumulativeWeights.push((cumulativeWeights[i - 1] ?? 0) + (i + 1) ** -skew);
+  const total = cumulativeWeights[objectsPerRegion - 1];
+  return (): number => {
+    const point = random() * total;
+    return cumulativeWeights.findIndex((end) => point < end);
+  };
+};
+
+/** Runs a load simulation; the result depends on the options only. */
+export const simulateLoad = (options: LoadSimulationOptions): LoadSimulationReport => {
+  const events = new EventQueue();
+  const random = seeded(options.seed);
+  const sampleObject = objectSampler(options, random);
+  const regions = Object.keys(options.targetsPerRegion);
+  const locations = regions.flatMap((region) =>
+    Array.from({ length: options.targetsPerRegion[region] }, (_, i) => ({ region, i })),
+  );
+  const targets = locations.map(() => new SimulatedTarget(options.target, events, random));
+  const facts = locations.map(({ region, i }) => ({
+    id: targetId(`${region}-${i}`),
+    service: serviceName('played'),
+    address: `${region}-${i}`,
+    failureDomain: failureDomainName(region),
+    region: regionName(region),
+    slots: options.target.slots,
+  }));
+  const instances = simulatedInstances(facts, regions, options.instancesPerRegion);
+  const report: LoadSimulationReport = {
+    asked: 0,
+    withinObjective: 0,
+    late: 0,
+    rejected: 0,
+    credit: 0,
+    maxRejectionMs: 0,
+  };
+
+  const reject = (
+    instance: SimulatedInstance,
+    object: string,
+    askedAt: number,
+    waitMs: number,
+    mayRetry: boolean,
+  ): void => {
+    if (mayRetry && events.now + waitMs - askedAt < options.deadlineMs)
+      events.after(waitMs, () => sendRequest(instance, object, askedAt, false));
+    else report.rejected += 1;
+  };
+  function sendRequest(
+    instance: SimulatedInstance,
+    object: string,
+    askedAt: number,
+    mayRetry: boolean,
+  ): void {
+    const receivedAt = events.now;
+    const outcome = options.policy(
+      {
+        key: objectKey(object),
+        locality: options.locality ?? 'balanced',
+        homeRegions: [],
+        objectiveMs: options.objectiveMs,
+        lateAlready: events.now - askedAt > options.objectiveMs,
+        tried: new Set(),
+        now: events.now,
+      },
+      instance.pool,
+      instance.rankings,
+    );
+    if (outcome.kind === 'rejected') {
+      report.maxRejectionMs = Math.max(report.maxRejectionMs, events.now - receivedAt);
+      reject(instance, object, askedAt, outcome.retryAfterMs, mayRetry);
+      return;
+    }
+    const { target } = outcome;
+    const targetIndex = facts.findIndex((f) => f.id === target.id);
+    const simulatedTarget = targets[targetIndex];
+    const oneWayMs =
+      target.region === regionName(instance.region)
+        ? INTRA_REGION_DELAY_MS
+        : options.interRegionDelayMs;
+    const sentAt = events.now;
+    const busy = target.load.busyAt(sentAt);
+    const remembered = target.objects.has(objectKey(object));
+    target.objects.note(objectKey(object));
+    target.load.own += 1;
+    target.selfReport.limit.take(sentAt);
+    const longest = instance.longestAnswers[remembered ? 'remembered' : 'first'];
+    const expectedMs = overdueAfter(longest.now(sentAt)) ?? Infinity;
+    const endSend = target.unanswered.begin(
+      sentAt,
+      (options.detectsStalledTargets ?? true) ? expectedMs : Infinity,
+    );
+    const remainingMs = options.deadlineMs - (sentAt - askedAt);
+    // At its deadline, a request without a response counts as lost and as a failure of the target.
+    let isFinished = false;
+    events.after(remainingMs, () => {
+      if (isFinished) return;
+      isFinished = true;
+      target.load.own -= 1;
+      endSend('lost', events.now);
+      target.failures += 1;
+      const avoidMs = Math.min(MAX_AVOID_MS, INITIAL_AVOID_MS * 2 ** (target.failures - 1));
+      if (target.failures >= AVOID_AFTER_FAILURES) target.avoidUntil = events.now + avoidMs;
+    });
+    events.after(oneWayMs, () => {
+      options.onArrival?.(targetIndex, events.now);
+      simulatedTarget.accept(object, (ran) => {
+        const { limitPerSecond: perSecond, pauseMs } = simulatedTarget;
+        events.after(oneWayMs, () => {
+          if (isFinished) return;
+          isFinished = true;
+          if (options.honorsTargetSignals ?? true)
+            applyTargetSignals(target, { perSecond, ran, sentAt }, pauseMs, events.now);
+          target.load.own -= 1;
+          endSend('answered', events.now);
+          if (ran) {
+            target.failures = 0;
+            longest.take(events.now - sentAt, events.now);
+          }
+          const load = simulatedTarget.load();
+          target.load.takeReport(load.running, load.waiting, events.now);
+          if (ran && remembered) learnAnswerMs(target, events.now - sentAt, busy);
+          if (!ran) reject(instance, object, askedAt, INTRA_REGION_DELAY_MS, mayRetry);
+          else if (events.now - askedAt <= options.objectiveMs) report.withinObjective += 1;
+          else if (events.now - askedAt <= options.deadlineMs) report.late += 1;
+        });
+      });
+    });
+  }
+  const scheduleArrival = (region: string): void => {
+    const rate = options.rate(region, events.now);
+    events.after((-Math.log(1 - random()) / rate) * MS_PER_SECOND, () => {
+      if (events.now >= options.durationMs) return;
+      report.asked += 1;
+      const regionInstances = instances.filter((i) => i.region === region);
+      const instance = regionInstances[Math.floor(random() * regionInstances.length)];
+      const object = `${region}/${sampleObject()}`;
+      sendRequest(instance, object, events.now, true);
+      scheduleArrival(region);
+    });
+  };
+  const disturbPeriodically = (): void => {
+    options.disturb?.(events.now, targets);
+    if (events.now < options.durationMs) events.after(DISTURB_INTERVAL_MS, disturbPeriodically);
+  };
+  disturbPeriodically();
+  regions.forEach(scheduleArrival);
+  events.runUntil(options.durationMs + options.deadlineMs);
+  report.credit = (report.withinObjective + LATE_CREDIT * report.late) / Math.max(1, report.asked);
+  return report;
+};
--- a/packages/load/src/player/playedInstances.ts
+++ b/packages/load/src/simulation/simulatedInstances.ts
@@ -1,4 +1,3 @@
-/** Instances in virtual time, each with its own view of all targets. */
 import type { PlacedTarget, ServicePool, TargetFacts } from '@cardamomladder/steering';
 import {
   HelpAbroad,
@@ -12,40 +11,40 @@
 
 const DEFAULT_INSTANCES = 3;
 
-/** One instance. */
-export interface PlayedInstance {
+/** A simulated instance with its own view of all targets. */
+export interface SimulatedInstance {
   region: string;
   pool: ServicePool;
   rankings: Rankings;
-  longest: { remembered: LongestAnswer; first: LongestAnswer };
+  longestAnswers: { remembered: LongestAnswer; first: LongestAnswer };
 }
 
-/** One instance's view of all targets. */
-const targetsOf = (facts: readonly TargetFacts[]): PlacedTarget[] => {
+/** Creates one instance's view of all targets. */
+const targetViews = (facts: readonly TargetFacts[]): PlacedTarget[] => {
   const fade = new ReportFade(() => facts.length);
   return facts.map((each) => newTarget(each, fade));
 };
 
-/** The instances of all regions; each region is one failure domain. */
-export const playedInstances = (
+/** Creates the instances of all regions; each region is one failure domain. */
+export const simulatedInstances = (
   facts: readonly TargetFacts[],
   regions: readonly string[],
   perRegion = DEFAULT_INSTANCES,
-): PlayedInstance[] => {
+): SimulatedInstance[] => {
   const demand = new Map(regions.map((region) => [regionName(region), 1]));
-  const places = regions.flatMap((region) =>
+  const locations = regions.flatMap((region) =>
     Array.from({ length: perRegion }, (_, i) => ({
       region,
       name: instanceId(`${region}-instance-${i}`),
     })),
   );
-  const sharers = { ids: places.map(({ name }) => name), size: places.length };
-  return places.map(({ region, name }) => ({
+  const sharers = { ids: locations.map(({ name }) => name), size: locations.length };
+  return locations.map(({ region, name }) => ({
     region,
     rankings: new Rankings(),
-    longest: { remembered: new LongestAnswer(), first: new LongestAnswer() },
+    longestAnswers: { remembered: new LongestAnswer(), first: new LongestAnswer() },
     pool: {
-      targets: targetsOf(facts),
+      targets: targetViews(facts),
       generation: 1,
       ownRegion: regionName(region),
       ownDomain: failureDomainName(region),
