--- a/packages/http-json/src/server.ts
+++ b/packages/http-json/src/server.ts
@@ -1,12 +1,10 @@
-/**
- * Reading and writing JSON bodies on Node `http` servers.
- */
+/** Reads and writes JSON bodies on Node `http` servers. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** Largest JSON body accepted: the platform holds values up to a megabyte, plus framing. */
+/** Maximum size of a JSON body: the platform stores values of up to a megabyte, plus framing. */
 export const MAX_JSON_BYTES = 1_200_000;
 
-/** Raised by `readJson` for a body that is too large or not JSON. */
+/** Thrown by `readJson` for a body that is too large or not JSON; `status` is the response status. */
 export class BodyError extends Error {
   constructor(
     readonly status: 400 | 413,
@@ -17,9 +15,9 @@
 }
 
 /**
- * Reads the whole request body, or answers `too-large` past `limit` bytes.
- * The rest of a too-large body is read and dropped, so the connection stays
- * usable for the refusal.
+ * Reads the whole request body; resolves with `too-large` if it exceeds `limit`
+ * bytes. The rest of an oversized body is read and discarded, so that the
+ * error response can still be sent on the connection.
  */
 export const readBody = (req: IncomingMessage, limit: number): Promise<Buffer | 'too-large'> =>
   new Promise((resolve, reject) => {
@@ -37,16 +35,15 @@
 export const readJson = async (req: IncomingMessage, limit = MAX_JSON_BYTES): Promise<unknown> => {
   const body = await readBody(req, limit);
   if (body === 'too-large')
-    throw new BodyError(413, `body is over ${limit} bytes; send a smaller one`);
+    throw new BodyError(413, `request body exceeds ${limit} bytes; send a smaller one`);
   if (body.length === 0) return undefined;
   try {
     return JSON.parse(body.toString('utf8'));
   } catch {
-    throw new BodyError(400, 'body is not JSON; send a JSON object');
+    throw new BodyError(400, 'request body is not JSON; send a JSON object');
   }
 };
 
-/** Sends `body` as JSON with the given status. */
 export const sendJson = (
   res: ServerResponse,
   status: number,
