--- a/packages/launcher/src/__tests__/codeCache.test.ts
+++ b/packages/launcher/src/__tests__/codeCache.test.ts
@@ -1,16 +1,16 @@
-/** Programs compiled with and without V8's code cache. */
+/** Compiling and running programs with and without V8's code cache. */
 import { copyFileSync, mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { beforeEach, describe, expect, it } from 'vitest';
-import { cacheFileOf, compileProgram, runProgram } from '..';
+import { cacheFilePath, compileProgram, runProgram } from '..';
 
 const SOURCE =
   'globalThis.launched = { path: require("node:path").basename(__filename), own: module.exports === exports };';
 
 let file: string;
 
-const launched = () => (globalThis as { launched?: unknown }).launched;
+const launchedProgram = () => (globalThis as { launched?: unknown }).launched;
 
 beforeEach(() => {
   file = join(mkdtempSync(join(tmpdir(), 'launcher-')), 'program.cjs');
@@ -18,36 +18,36 @@
 });
 
 describe('a launched program', () => {
-  it('runs as Node would run it, without a cache and with one', () => {
+  it('runs as Node.js would run it, with and without a cache', () => {
     const first = compileProgram(file);
     expect(first.cache).toBe('missing');
     runProgram(first);
-    expect(launched()).toEqual({ path: 'program.cjs', own: true });
-    writeFileSync(cacheFileOf(file), first.script.createCachedData());
+    expect(launchedProgram()).toEqual({ path: 'program.cjs', own: true });
+    writeFileSync(cacheFilePath(file), first.script.createCachedData());
     const second = compileProgram(file);
     expect(second.cache).toBe('used');
     runProgram(second);
-    expect(launched()).toEqual({ path: 'program.cjs', own: true });
+    expect(launchedProgram()).toEqual({ path: 'program.cjs', own: true });
   });
 
-  it('runs though its cache is of another program or broken', () => {
-    // Symptom: no instance starts after an update. Sequence: the program is
-    // replaced, the cache beside it is not. Cause: a cache that is believed
-    // without a check; V8 checks it, and the program is compiled anew.
+  it('runs when its cache belongs to another program or is corrupt', () => {
+    // Guards against instances failing to start after an update that replaces
+    // the program but not its cache, which must not be trusted unchecked: V8
+    // rejects it, and the program is recompiled.
     const other = join(file, '..', 'other.cjs');
     copyFileSync(file, other);
     writeFileSync(other, `${SOURCE} globalThis.launched.more = true;`);
-    writeFileSync(cacheFileOf(other), compileProgram(file).script.createCachedData());
+    writeFileSync(cacheFilePath(other), compileProgram(file).script.createCachedData());
     const program = compileProgram(other);
     expect(program.cache).toBe('rejected');
     runProgram(program);
-    expect(launched()).toMatchObject({ more: true });
+    expect(launchedProgram()).toMatchObject({ more: true });
     const third = join(file, '..', 'third.cjs');
     writeFileSync(third, `${SOURCE} globalThis.launched.third = true;`);
-    writeFileSync(cacheFileOf(third), 'not a cache');
+    writeFileSync(cacheFilePath(third), 'not a cache');
     const broken = compileProgram(third);
     expect(broken.cache).toBe('rejected');
     runProgram(broken);
-    expect(launched()).toMatchObject({ third: true });
+    expect(launchedProgram()).toMatchObject({ third: true });
   });
 });
--- a/packages/launcher/src/index.ts
+++ b/packages/launcher/src/index.ts
@@ -1,2 +1,2 @@
-export type { CacheUse, CompiledProgram } from './codeCache';
-export { cacheFileOf, compileProgram, runProgram } from './codeCache';
+export type { CacheStatus, CompiledProgram } from './codeCache';
+export { cacheFilePath, compileProgram, runProgram } from './codeCache';
