--- a/packages/bench/src/customers.ts
+++ b/packages/bench/src/customers.ts
@@ -1,23 +1,23 @@
-/** What a request costs for its customer: finding it by its key, and taking a token of its limit. */
+/** CPU cost per request of identifying the customer by API key and of checking its rate limit. */
 import type { Customer } from '@cardamomladder/customers';
 import { Allowances, customerTable, identify } from '@cardamomladder/customers';
 import { apiKey, customerName, instanceId } from '@cardamomladder/types';
 
 const REQUESTS = 200_000;
-const KEYS_EACH = 2;
-const MICROS_PER_MS = 1000;
+const KEYS_PER_CUSTOMER = 2;
+const REQUESTS_PER_MS = 1000;
 
-const customersOf = (keys: number): Customer[] =>
-  Array.from({ length: keys / KEYS_EACH }, (_, i) => ({
+const syntheticCustomers = (keys: number): Customer[] =>
+  Array.from({ length: keys / KEYS_PER_CUSTOMER }, (_, i) => ({
     name: customerName(`customer-${i}`),
     keys: [apiKey(`first-key-of-${i}`), apiKey(`second-key-of-${i}`)],
     homeRegions: [],
     limit: { perSecond: 100, burst: 100 },
   }));
 
-/** Processor time of one request's identity and admission, µs, with so many keys configured. */
-export const customerCost = (keys: number): number => {
-  const customers = customersOf(keys);
+/** CPU µs to identify the customer of one request and check its rate limit, with `keys` API keys. */
+export const admissionMicros = (keys: number): number => {
+  const customers = syntheticCustomers(keys);
   const table = customerTable(customers);
   const self = instanceId('i-1');
   const holders = { ids: [self], size: 1 };
@@ -32,9 +32,9 @@
   allowances.configure(customers);
   const before = process.cpuUsage();
   for (let i = 0; i < REQUESTS; i += 1) {
-    now = i / MICROS_PER_MS;
-    const { keys: held, name } = customers[(i * 7919) % customers.length];
-    identify(table, { kind: 'key', key: held[i % KEYS_EACH] }, false);
+    now = i / REQUESTS_PER_MS;
+    const { keys: customerKeys, name } = customers[(i * 7919) % customers.length];
+    identify(table, { kind: 'key', key: customerKeys[i % KEYS_PER_CUSTOMER] }, false);
     allowances.of(name)?.take(now);
   }
   const { user, system } = process.cpuUsage(before);
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Control-plane costs of a fleet of N entries against one platform stand-in:
- * store calls and bytes per entry per second while idle, and the fan-out of
- * one configuration change (time until every entry has it, calls it cost).
+ * Control-plane cost of a fleet of N entries that share one platform stand-in:
+ * store calls and bytes per entry and second while idle, and the propagation of
+ * one configuration change (time until all entries apply it, store calls made).
  */
 import type { Socket } from 'node:net';
 import { applyDocument } from '@cardamomladder/console';
@@ -10,10 +10,10 @@
 import { createMemberClient, createMemberListStandin } from '@cardamomladder/member-list';
 import { createKvClient, startPlatformStandin } from '@cardamomladder/platform-kv';
 import { validateSettings } from '@cardamomladder/settings';
-import { syntheticDocument, syntheticMembers } from './slopes';
+import { syntheticDocument, syntheticMembers } from './unitCosts';
 
-/** What one fleet size measured. */
-export interface FleetFigures {
+/** Measurements for one fleet size. */
+export interface FleetMeasurements {
   entries: number;
   idleCallsPerEntryPerSecond: number;
   idleBytesPerEntryPerSecond: number;
@@ -27,21 +27,22 @@
     setTimeout(resolve, ms);
   });
 
-/** Runs `n` entries for `idleMs`, then applies one change and times its fan-out. */
-export const measureFleet = async (n: number, idleMs: number): Promise<FleetFigures> => {
+/** Runs `n` entries idle for `idleMs`, then applies one change and measures its propagation. */
+export const measureFleet = async (n: number, idleMs: number): Promise<FleetMeasurements> => {
   const members = createMemberListStandin(1000);
   const platform = await startPlatformStandin({ handlers: [members.handle] });
-  let bytes = 0;
+  let closedSocketBytes = 0;
   const sockets = new Set<Socket>();
   platform.server.on('connection', (socket: Socket) => {
     sockets.add(socket);
     socket.on('close', () => {
-      bytes += socket.bytesRead + socket.bytesWritten;
+      closedSocketBytes += socket.bytesRead + socket.bytesWritten;
       sockets.delete(socket);
     });
   });
-  const liveBytes = () =>
-    bytes + [...sockets].reduce((s, k) => s + k.bytesRead + k.bytesWritten, 0);
+  const totalBytes = () =>
+    closedSocketBytes +
+    [...sockets].reduce((s, socket) => s + socket.bytesRead + socket.bytesWritten, 0);
   const totalCalls = () =>
     [...platform.kv.calls.values()].reduce((a, b) => a + b, 0) + members.reads();
   const kv = createKvClient({ url: platform.url });
@@ -66,12 +67,12 @@
   await sleep(2000);
   (globalThis as { gc?: () => void }).gc?.();
   const heapMbPerEntry = (process.memoryUsage().heapUsed - heapBefore) / n / 1e6;
-  const calls0 = totalCalls();
-  const bytes0 = liveBytes();
+  const callsBeforeIdle = totalCalls();
+  const bytesBeforeIdle = totalBytes();
   await sleep(idleMs);
-  const idleCalls = totalCalls() - calls0;
-  const idleBytes = liveBytes() - bytes0;
-  const calls1 = totalCalls();
+  const idleCalls = totalCalls() - callsBeforeIdle;
+  const idleBytes = totalBytes() - bytesBeforeIdle;
+  const callsBeforeChange = totalCalls();
   const started = performance.now();
   const change = await applyDocument(kv, syntheticDocument(3, 3, 1));
   if (change.isErr()) throw change.error;
@@ -79,7 +80,7 @@
   const fanOutMs = performance.now() - started;
   await sleep(200);
   const callsPerChange =
-    totalCalls() - calls1 - (idleCalls / idleMs) * (performance.now() - started);
+    totalCalls() - callsBeforeChange - (idleCalls / idleMs) * (performance.now() - started);
   await Promise.all(entries.map((e) => e.stop()));
   members.stop();
   await platform.stop();
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,10 +1,10 @@
 /**
- * `npm run bench`: measures the slopes behind docs/CAPACITY.md on this
- * machine and prints them, with the fleet figures at several sizes. Run
- * with `node --expose-gc` (the npm script does) for the heap figures.
+ * `npm run bench`: measures the unit costs used in docs/CAPACITY.md on this
+ * machine, and the control-plane cost of fleets of several sizes. The heap
+ * measurements need `node --expose-gc`, which the npm script sets.
  */
 import { mkdir, writeFile } from 'node:fs/promises';
-import { customerCost } from './customers';
+import { admissionMicros } from './customers';
 import { measureFleet } from './fleet';
 import {
   bytesPerDedupKey,
@@ -12,12 +12,12 @@
   decisionMicros,
   documentCost,
   memberPollCost,
-} from './slopes';
+} from './unitCosts';
 
 const round = (x: number, digits = 2) => Math.round(x * 10 ** digits) / 10 ** digits;
 
 const main = async () => {
-  const sizes = (process.env.BENCH_SIZES ?? '5,20,50').split(',').map(Number);
+  const fleetSizes = (process.env.BENCH_SIZES ?? '5,20,50').split(',').map(Number);
   const idleMs = Number(process.env.BENCH_IDLE_MS ?? 5000);
   const decisions = [10, 40, 160, 640].map((t) => ({
     targets: t,
@@ -37,9 +37,9 @@
     bytesPerTarget: round(bytesPerTarget(20_000), 0),
     bytesPerDedupKey: round(bytesPerDedupKey(20_000), 0),
   };
-  const customers = [100, 10_000].map((keys) => ({ keys, micros: customerCost(keys) }));
+  const customers = [100, 10_000].map((keys) => ({ keys, micros: admissionMicros(keys) }));
   const fleet = [];
-  for (const n of sizes) fleet.push(await measureFleet(n, idleMs));
+  for (const n of fleetSizes) fleet.push(await measureFleet(n, idleMs));
   const report = {
     at: new Date().toISOString(),
     node: process.version,
@@ -50,7 +50,7 @@
     customers,
     fleet,
   };
-  console.log('steering decision (choose), CPU per look-up');
+  console.log('steering decision (choose), CPU per call');
   decisions.forEach((d) =>
     console.log(`  ${String(d.targets).padStart(4)} targets in the service: ${d.micros} µs`),
   );
@@ -69,7 +69,7 @@
   console.log(
     `heap: ${memory.bytesPerTarget} bytes per target view, ${memory.bytesPerDedupKey} bytes per idempotency key (200-byte answer)`,
   );
-  console.log("identity by key and a token of the customer's limit, CPU per request");
+  console.log('customer identification by API key and rate limit check, CPU per request');
   customers.forEach(({ keys, micros }) =>
     console.log(
       `  ${String(keys).padStart(6)} keys: ${round(micros, 2)} µs, ${round(micros / customers[0].micros, 2)} times that of ${customers[0].keys}`,
@@ -78,7 +78,7 @@
   console.log('fleet of N entries on one platform stand-in');
   fleet.forEach((f) =>
     console.log(
-      `  N=${String(f.entries).padStart(3)}: ${round(f.idleCallsPerEntryPerSecond, 3)} store calls/s and ${round(f.idleBytesPerEntryPerSecond, 0)} B/s per entry idle; change in force everywhere in ${round(f.fanOutMs, 1)} ms for ${round(f.callsPerChange, 0)} calls; heap ${round(f.heapMbPerEntry, 2)} MB per entry`,
+      `  N=${String(f.entries).padStart(3)}: ${round(f.idleCallsPerEntryPerSecond, 3)} store calls/s and ${round(f.idleBytesPerEntryPerSecond, 0)} B/s per entry idle; change applied by all entries in ${round(f.fanOutMs, 1)} ms for ${round(f.callsPerChange, 0)} calls; heap ${round(f.heapMbPerEntry, 2)} MB per entry`,
     ),
   );
   await mkdir('bench-results', { recursive: true });
--- a/packages/bench/src/unitCosts.ts
+++ b/packages/bench/src/unitCosts.ts
@@ -1,7 +1,7 @@
 /**
- * Micro-measurements of the per-unit costs that docs/CAPACITY.md scales up:
- * CPU per steering decision, per document applied, per member-list poll;
- * heap bytes per target view and per remembered idempotency key.
+ * Microbenchmarks of the unit costs that docs/CAPACITY.md extrapolates from:
+ * CPU per steering decision, per applied document and per member-list poll;
+ * heap bytes per target view and per stored idempotency key.
  */
 import { Dedup, Fleet } from '@cardamomladder/entry';
 import type { DocumentInput } from '@cardamomladder/document';
@@ -9,7 +9,7 @@
 import type { Member } from '@cardamomladder/member-list';
 import { requestKey, serviceName } from '@cardamomladder/types';
 
-/** A document with `services` services over `regions` regions of 2 failure domains. */
+/** A document with `services` services in `regions` regions of 2 failure domains each. */
 export const syntheticDocument = (
   services: number,
   regions: number,
@@ -29,7 +29,7 @@
   })),
 });
 
-/** Members: `perService` targets for each of `services`, spread over regions. */
+/** A member list with `perService` targets for each service, distributed over the regions. */
 export const syntheticMembers = (services: number, perService: number, regions: number): Member[] =>
   Array.from({ length: services * perService }, (_, i) => {
     const s = Math.floor(i / perService);
@@ -45,14 +45,14 @@
     };
   });
 
-const cpuMicros = (work: () => void): number => {
+const measureCpuMicros = (work: () => void): number => {
   const before = process.cpuUsage();
   work();
   const used = process.cpuUsage(before);
   return used.user + used.system;
 };
 
-/** Heap plus off-heap buffers after a collection: stored answers live in Buffers. */
+/** Heap plus external memory after garbage collection: stored responses are held in Buffers. */
 const heapAfterGc = (): number => {
   (globalThis as { gc?: () => void }).gc?.();
   const usage = process.memoryUsage();
@@ -67,22 +67,22 @@
   fleet.applyDocument(parsed.value);
   fleet.applyMembers(syntheticMembers(1, targets, 11), 0);
   const steering = fleet.services.get(serviceName('service-0'));
-  if (!steering) throw new Error('no service');
+  if (!steering) throw new Error('service-0 is missing from the fleet');
   steering.tick(Date.now());
-  const n = 20_000;
+  const iterations = 20_000;
   let seed = 1;
   const random = () => {
     seed = (seed * 48271) % 2147483647;
     return seed / 2147483647;
   };
   return (
-    cpuMicros(() => {
-      for (let i = 0; i < n; i += 1) steering.choose(Date.now(), random);
-    }) / n
+    measureCpuMicros(() => {
+      for (let i = 0; i < iterations; i += 1) steering.choose(Date.now(), random);
+    }) / iterations
   );
 };
 
-/** CPU µs and bytes to parse, validate and apply one document of `services` services. */
+/** CPU µs to parse, validate and apply one document of `services` services, and its size in bytes. */
 export const documentCost = (
   services: number,
   regions: number,
@@ -91,7 +91,7 @@
   const fleet = new Fleet();
   const rounds = 20;
   const micros =
-    cpuMicros(() => {
+    measureCpuMicros(() => {
       for (let i = 0; i < rounds; i += 1) {
         const parsed = parseDocument(text);
         if (parsed.isErr()) throw parsed.error;
@@ -101,7 +101,7 @@
   return { micros, bytes: Buffer.byteLength(text) };
 };
 
-/** CPU µs and bytes of one full member-list poll of `members` targets. */
+/** CPU µs to apply one full member-list poll of `services * perService` targets, and its size in bytes. */
 export const memberPollCost = (
   services: number,
   perService: number,
@@ -115,30 +115,30 @@
   fleet.applyDocument(parsed.value);
   const rounds = 10;
   const micros =
-    cpuMicros(() => {
+    measureCpuMicros(() => {
       for (let i = 0; i < rounds; i += 1)
         fleet.applyMembers((JSON.parse(text) as { members: Member[] }).members, Date.now());
     }) / rounds;
   return { micros, bytes: Buffer.byteLength(text) };
 };
 
-/** Heap bytes per target view held by the fleet. */
+/** Heap bytes per target, for the fleet's view and its member-list entry. */
 export const bytesPerTarget = (count: number): number => {
   const parsed = parseDocument(JSON.stringify(syntheticDocument(10, 11)));
   if (parsed.isErr()) throw parsed.error;
   const before = heapAfterGc();
-  // The fleet keeps the member list it was given as well as its own views,
-  // so both are counted.
+  // The fleet retains the member list in addition to its own target views, so
+  // both are measured.
   const members = syntheticMembers(10, count / 10, 11);
   const fleet = new Fleet();
   fleet.applyDocument(parsed.value);
   fleet.applyMembers(members, 0);
   const after = heapAfterGc();
-  if (fleet.services.size === 0) throw new Error('unreachable');
+  if (fleet.services.size === 0) throw new Error('the fleet has no services');
   return (after - before) / count;
 };
 
-/** Heap bytes per remembered idempotency key with a 200-byte stored answer. */
+/** Heap bytes per stored idempotency key with a 200-byte response. */
 export const bytesPerDedupKey = (count: number): number => {
   const before = heapAfterGc();
   const dedup = new Dedup({ ttlMs: 3_600_000, maxKeys: count * 2 });
@@ -153,6 +153,6 @@
   }
   const after = heapAfterGc();
   if (dedup.claim(requestKey('booking-0-xxxxxxxxxxxxxxxxxxxx')).kind !== 'replay')
-    throw new Error('key lost');
+    throw new Error('the first idempotency key was not retained');
   return (after - before) / count;
 };
