--- a/scripts/__tests__/knownFailures.test.mjs
+++ b/scripts/__tests__/knownFailures.test.mjs
@@ -1,6 +1,6 @@
-/** The list of tests that are known to fail: what CI passes over, and what it doesn't. */
+/** Parsing KNOWN-RED.txt and telling listed test failures from others. */
 import { describe, expect, it } from 'vitest';
-import { parseKnownRed, sortFailures } from '../knownRed.mjs';
+import { parseKnownFailures, classifyFailures } from '../knownFailures.mjs';
 
 const LIST = `# comment
 
@@ -8,8 +8,8 @@
 `;
 
 describe('KNOWN-RED.txt', () => {
-  it('is read by its fields, and refused where one is missing', () => {
-    expect(parseKnownRed(LIST)).toMatchInlineSnapshot(`
+  it('is parsed into fields, and rejected if one is missing', () => {
+    expect(parseKnownFailures(LIST)).toMatchInlineSnapshot(`
       [
         {
           "cause": "cause",
@@ -20,16 +20,16 @@
         },
       ]
     `);
-    expect(() => parseKnownRed('a.test.ts > first | cause')).toThrow(
-      'give test | cause | issue | command | seen',
+    expect(() => parseKnownFailures('a.test.ts > first | cause')).toThrow(
+      'expected test | cause | issue | command | seen',
     );
   });
 
-  it('covers just the tests that it lists', () => {
-    const entries = parseKnownRed(LIST);
-    const sorted = sortFailures(['a.test.ts > group > first', 'a.test.ts > other'], entries);
+  it('covers only the tests that it lists', () => {
+    const entries = parseKnownFailures(LIST);
+    const sorted = classifyFailures(['a.test.ts > group > first', 'a.test.ts > other'], entries);
     expect(sorted.unknown).toEqual(['a.test.ts > other']);
     expect(sorted.known).toEqual(entries);
-    expect(sortFailures([], entries).notFailed).toEqual(entries);
+    expect(classifyFailures([], entries).notFailed).toEqual(entries);
   });
 });
--- a/scripts/binary.mjs
+++ b/scripts/binary.mjs
@@ -1,5 +1,5 @@
-// Builds dist/cardamomladder, one executable: a copy of this machine's node
-// with the bundle injected as a Node single-executable application (SEA).
+// Builds dist/cardamomladder: a copy of the current `node` executable with the
+// bundle injected as a Node.js single executable application (SEA).
 // Run `npm run build` first. See docs/DESIGN.md, "One binary".
 import { execFileSync } from 'node:child_process';
 import { copyFileSync, writeFileSync } from 'node:fs';
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,10 +1,10 @@
-// Bundles a program and everything it imports into one file that plain `node`
-// runs with no node_modules. Without arguments: the CLI, into
-// dist/cardamomladder.cjs, from which the single-executable step (postject)
-// starts; see docs/DESIGN.md, "One binary".
+// Bundles a program and its dependencies into one file that `node` runs without
+// node_modules. Without arguments it builds the CLI, dist/cardamomladder.cjs,
+// which scripts/binary.mjs turns into a single executable; see docs/DESIGN.md,
+// "One binary".
 //   node scripts/build.mjs [ENTRY OUTFILE]
-// White space and syntax are shortened, names stay: parsing takes a quarter
-// less of each start, and stack traces stay readable.
+// White space and syntax are minified, which reduces parsing time at startup by
+// a quarter; names are kept so that stack traces stay readable.
 import { build } from 'esbuild';
 
 const [entry = 'platform/src/binary.ts', outfile = 'dist/cardamomladder.cjs'] =
--- a/scripts/knownFailures.mjs
+++ b/scripts/knownFailures.mjs
@@ -1,28 +1,28 @@
-// Reads KNOWN-RED.txt: tests that fail for a fault that is known and open. A
-// line has five fields, separated by ' | ': the test as `file > name`, the
-// cause, the issue, the command and seed, and what was seen.
+// Reads KNOWN-RED.txt, the list of tests that fail because of a known open
+// fault. A line has five fields, separated by ' | ': the test as `file > name`,
+// the cause, the issue, the command and seed, and the observed failure.
 import { existsSync, readFileSync } from 'node:fs';
 
 const FIELDS = ['test', 'cause', 'issue', 'command', 'seen'];
 
-/** The entries of a list; a line without all of its fields is an error. */
-export const parseKnownRed = (text) =>
+/** Parses the list; throws on a line with a missing, empty or extra field. */
+export const parseKnownFailures = (text) =>
   text
     .split('\n')
     .filter((line) => line.trim() !== '' && !line.startsWith('#'))
     .map((line) => {
       const fields = line.split(' | ').map((field) => field.trim());
       if (fields.length !== FIELDS.length || fields.some((field) => field === ''))
-        throw new Error(`KNOWN-RED.txt: give ${FIELDS.join(' | ')}, not: ${line}`);
+        throw new Error(`KNOWN-RED.txt: expected ${FIELDS.join(' | ')}, got: ${line}`);
       return Object.fromEntries(FIELDS.map((name, i) => [name, fields[i]]));
     });
 
-/** The entries of the list in `file`; none when there is no such file. */
-export const readKnownRed = (file) =>
-  existsSync(file) ? parseKnownRed(readFileSync(file, 'utf8')) : [];
+/** Parses the list in `file`; returns no entries if the file does not exist. */
+export const readKnownFailures = (file) =>
+  existsSync(file) ? parseKnownFailures(readFileSync(file, 'utf8')) : [];
 
-/** Failed tests by whether they are listed, and listed ones that did not fail. */
-export const sortFailures = (failedTests, entries) => {
+/** Splits failed tests into listed and unlisted ones, and returns listed tests that did not fail. */
+export const classifyFailures = (failedTests, entries) => {
   const listed = new Set(entries.map(({ test }) => test));
   const failed = new Set(failedTests);
   return {
--- a/scripts/unhandledErrors.mjs
+++ b/scripts/unhandledErrors.mjs
@@ -1,9 +1,9 @@
-// A vitest reporter that notes errors outside of any test. They make vitest's
-// exit code 1 as a failed test does; while a listed test fails, that code alone
-// cannot tell them apart.
+// A Vitest reporter that records errors outside any test. Such an error sets
+// Vitest's exit code to 1, as a failed test does, so the exit code alone does
+// not reveal it when a test listed in KNOWN-RED.txt fails in the same run.
 import { writeFileSync } from 'node:fs';
 
-/** Where the errors' messages are kept for the summary. */
+/** File that passes the error messages to summary.mjs. */
 export const UNHANDLED_FILE = '.vitest-unhandled.json';
 
 export default class UnhandledErrors {
