--- a/packages/cli/src/__fixtures__/testCluster.ts
+++ b/packages/cli/src/__fixtures__/testCluster.ts
@@ -1,10 +1,10 @@
-/** A small layout for tests: two regions, one failure domain each, three services. */
+/** A cluster with a small layout for tests: two regions with one failure domain each, three services. */
 import { afterAll, beforeAll } from 'vitest';
 import type { Layout } from '@cardamomladder/document';
 import type { Cluster } from '../demo/cluster';
 import { startCluster } from '../demo/cluster';
 
-export const tiny: Layout = {
+export const tinyLayout: Layout = {
   name: 'tiny',
   regionDelayMs: 0,
   regions: [
@@ -42,8 +42,8 @@
   ],
 };
 
-/** Sends one request to an entry and reads the whole answer. */
-export const send = async (
+/** Sends one request to an entry and reads the whole response. */
+export const sendRequest = async (
   address: string,
   path: string,
   init: { method?: string; body?: string; headers?: Record<string, string> } = {},
@@ -73,19 +73,18 @@
   };
 };
 
-/** Resolves after `ms`. */
 export const sleep = (ms: number) =>
   new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
 
-/** Starts a cluster of the tiny layout for a test file's tests, and ends it after them. */
+/** Starts a cluster with the tiny layout before a file's tests and stops it after them. */
 export const useCluster = (
   options: Omit<Parameters<typeof startCluster>[0], 'layout'>,
 ): (() => Cluster) => {
   let cluster: Cluster;
   beforeAll(async () => {
-    cluster = await startCluster({ layout: tiny, ...options });
+    cluster = await startCluster({ layout: tinyLayout, ...options });
   });
   afterAll(() => cluster.stop());
   return () => cluster;
--- a/packages/cli/src/__tests__/atMostOnce.test.ts
+++ b/packages/cli/src/__tests__/atMostOnce.test.ts
@@ -1,9 +1,10 @@
 /**
- * Bookings and arrivals run at most once, and "not run" is said only when
- * nothing ran; checked against the target stand-ins' own execution records.
+ * Bookings and arrivals run at most once, and "not-run" is returned only if no
+ * target ran the request; checked against the execution records of the target
+ * stand-ins.
  */
 import { describe, expect, it } from 'vitest';
-import { send, useCluster } from '../__fixtures__/tiny';
+import { sendRequest, useCluster } from '../__fixtures__/testCluster';
 
 const cluster = useCluster({ memberLagMs: 200 });
 const executions = (key: string) =>
@@ -14,12 +15,11 @@
 
 describe('at most once', () => {
   it('answers "unknown" and never retries when the reply to a booking is lost', async () => {
-    // Symptom: two plumbers sent for one tap. Sequence: the booking reaches
-    // a target, the target books the visit, the connection drops before the
-    // answer. Cause it guards against: an entry that retries any failed
+    // Guards against duplicate bookings: the target books the visit and the
+    // connection drops before the response. An entry that retried every failed
     // attempt would book again on the second target.
     setFaults({ resetAfterWork: true });
-    const reply = await send(cluster().entries[0].address, '/s/book/visit', {
+    const reply = await sendRequest(cluster().entries[0].address, '/s/book/visit', {
       method: 'POST',
       body: '{}',
       headers: { 'idempotency-key': 'visit-1' },
@@ -34,23 +34,23 @@
       }
     `);
     expect(executions('visit-1')).toBe(1);
-    const again = await send(cluster().entries[0].address, '/s/book/visit', {
+    const repeatedReply = await sendRequest(cluster().entries[0].address, '/s/book/visit', {
       method: 'POST',
       body: '{}',
       headers: { 'idempotency-key': 'visit-1' },
     });
-    expect([again.status, again.outcome]).toEqual([409, 'unknown']);
+    expect([repeatedReply.status, repeatedReply.outcome]).toEqual([409, 'unknown']);
     expect(executions('visit-1')).toBe(1);
   });
 
-  it('says "not run" only when no target ran the booking, and then it is safe to send again', async () => {
-    // Symptom: a kiosk told "not run" re-sends an arrival that had in fact
-    // been recorded. Sequence: every target is draining and refuses.
-    // Cause it guards against: "not run" given for any failure.
-    const ups = cluster().upstreams.get('book') ?? [];
-    const drains = ups.map((u) => u.drain());
+  it('answers "not-run" only when no target ran the booking, so that a retry is safe', async () => {
+    // Guards against answering "not-run" for any failure, after which a caller
+    // resends an arrival that was in fact recorded. Here every target is
+    // draining and rejects the request.
+    const upstreams = cluster().upstreams.get('book') ?? [];
+    const drains = upstreams.map((u) => u.drain());
     await Promise.all(drains);
-    const reply = await send(cluster().entries[1].address, '/s/book/visit', {
+    const reply = await sendRequest(cluster().entries[1].address, '/s/book/visit', {
       method: 'POST',
       body: '{}',
       headers: { 'idempotency-key': 'visit-2' },
--- a/packages/cli/src/__tests__/badInput.test.ts
+++ b/packages/cli/src/__tests__/badInput.test.ts
@@ -1,24 +1,27 @@
 /**
- * Bad input gets a typed refusal that names the remedy, and nothing else
- * breaks: malformed paths, unknown services, oversize bodies, a store that
- * is down, invalid documents and settings.
+ * Bad input is rejected with a typed error that says how to fix it, and does
+ * not disturb other requests: malformed paths, unknown services, oversized
+ * bodies, an unavailable store, invalid documents and settings.
  */
 import { describe, expect, it } from 'vitest';
 import { applyDocument } from '@cardamomladder/console';
 import { layoutDocument, parseDocument } from '@cardamomladder/document';
 import { validateSettings } from '@cardamomladder/settings';
-import { send, tiny, useCluster } from '../__fixtures__/tiny';
+import { sendRequest, tinyLayout, useCluster } from '../__fixtures__/testCluster';
 
 const cluster = useCluster({ memberLagMs: 200 });
 
 describe('bad input to an entry', () => {
-  it('refuses each with a typed error and keeps serving', async () => {
+  it('is rejected with a typed error while the entry keeps serving', async () => {
     const entry = cluster().entries[0].address;
     const cases = {
-      malformed: await send(entry, '/nowhere'),
-      unknownService: await send(entry, '/s/nosuch/x'),
-      oversize: await send(entry, '/s/book/x', { method: 'POST', body: 'x'.repeat(70 * 1024) }),
-      afterwards: await send(entry, '/s/lookup/x'),
+      malformed: await sendRequest(entry, '/nowhere'),
+      unknownService: await sendRequest(entry, '/s/nosuch/x'),
+      oversize: await sendRequest(entry, '/s/book/x', {
+        method: 'POST',
+        body: 'x'.repeat(70 * 1024),
+      }),
+      afterwards: await sendRequest(entry, '/s/lookup/x'),
     };
     expect(
       Object.fromEntries(
@@ -50,13 +53,15 @@
     `);
   });
 
-  it('keeps serving with the last good document while the store is down', async () => {
-    // Symptom: a store outage takes every service down with it. Sequence:
-    // the platform KV answers 503 to every call for a while. Cause it
-    // guards against: entries that need the store on the request path.
+  it('keeps serving with the last valid document while the store is unavailable', async () => {
+    // Guards against a dependency on the store in the request path, which would
+    // turn a store outage (the platform KV answers every call with 503) into
+    // an outage of every service.
     cluster().platform.kv.faults.down = true;
-    const during = await send(cluster().entries[1].address, '/s/lookup/x');
-    const apply = await applyDocument(cluster().kv, layoutDocument(tiny, 1), { backoffMs: 1 });
+    const during = await sendRequest(cluster().entries[1].address, '/s/lookup/x');
+    const apply = await applyDocument(cluster().kv, layoutDocument(tinyLayout, 1), {
+      backoffMs: 1,
+    });
     cluster().platform.kv.faults.down = false;
     expect([during.status, during.outcome]).toEqual([200, 'ok']);
     expect(apply.isErr() && apply.error.kind).toBe('store-unavailable');
@@ -65,14 +70,14 @@
 
 describe('bad documents and settings', () => {
   it('names every bad field and its remedy', () => {
-    const doc = parseDocument(
+    const document = parseDocument(
       JSON.stringify({
         revision: 1,
         regions: [{ name: 'North', failureDomains: [] }],
         services: [{ name: 'lookup', idempotent: 'yes', shares: { south: -1 } }],
       }),
     );
-    expect(doc.isErr() && doc.error.message).toMatchSnapshot();
+    expect(document.isErr() && document.error.message).toMatchSnapshot();
     const settings = validateSettings({
       id: 'e1',
       region: 'north',
--- a/packages/cli/src/__tests__/commandLine.test.ts
+++ b/packages/cli/src/__tests__/commandLine.test.ts
@@ -1,13 +1,13 @@
-/** Arguments that the command line does not know, or lacks. */
+/** Unknown and missing command line arguments. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { commandLine, runCommandLine } from '..';
 
-let said: string[];
+let errorLines: string[];
 
 beforeEach(() => {
-  said = [];
+  errorLines = [];
   vi.spyOn(console, 'error').mockImplementation((line: string) => {
-    said.push(line);
+    errorLines.push(line);
   });
 });
 afterEach(() => {
@@ -17,28 +17,28 @@
 
 const run = (...args: string[]) => {
   runCommandLine(commandLine(), ['node', 'cardamomladder', ...args]);
-  return { code: process.exitCode, said };
+  return { code: process.exitCode, said: errorLines };
 };
 
 describe('the command line', () => {
-  it('refuses an unknown command with the nearest one', () => {
-    // Symptom: a mistyped command prints nothing and succeeds. Sequence: a
-    // script runs `cardamomladder chek settings.json`, and goes on. Cause: a
-    // command that nobody matched was nobody's to refuse.
+  it('rejects an unknown command and suggests the closest one', () => {
+    // Guards against a mistyped command that prints nothing and exits with 0, so
+    // that a script calling `cardamomladder chek settings.json` continues: cac
+    // itself does not reject a command that it cannot match.
     expect(run('chek', 'settings.json')).toEqual({
       code: 2,
       said: ["unknown command 'chek'; did you mean 'check'? See --help"],
     });
   });
 
-  it('refuses an unknown option with the nearest one', () => {
+  it('rejects an unknown option and suggests the closest one', () => {
     expect(run('entry', '--setings', 'a.json')).toEqual({
       code: 2,
       said: ["Unknown option `--setings`; did you mean '--settings'? See --help"],
     });
   });
 
-  it('refuses a command that lacks an argument', () => {
+  it('rejects a command with a missing argument', () => {
     expect(run('check')).toEqual({
       code: 2,
       said: ['missing required args for command `check <file>`'],
--- a/packages/cli/src/__tests__/config.test.ts
+++ b/packages/cli/src/__tests__/config.test.ts
@@ -1,8 +1,8 @@
 /**
- * "A configuration the console has accepted is in force everywhere within
- * seconds and never reverts", under store outages, slow answers, lost
- * replies and racing operators: stateful fuzzing against a model that is
- * just "the last revision the console accepted".
+ * A configuration that the console has accepted is applied everywhere within
+ * seconds and never reverts, despite store outages, slow and lost responses and
+ * concurrent operators. Model-based property test; the model is the last
+ * revision that the console accepted.
  */
 import fc from 'fast-check';
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
@@ -13,7 +13,7 @@
 import { followConfig } from '@cardamomladder/entry';
 import type { KvClient, PlatformStandin } from '@cardamomladder/platform-kv';
 import { createKvClient, startPlatformStandin } from '@cardamomladder/platform-kv';
-import { sleep, tiny } from '../__fixtures__/tiny';
+import { sleep, tinyLayout } from '../__fixtures__/testCluster';
 
 const KEY = 'test/document';
 let platform: PlatformStandin;
@@ -27,8 +27,8 @@
   await platform.stop();
 });
 
-const docAt = (revision: number, north: number): DocumentInput => {
-  const doc = layoutDocument(tiny, revision);
+const documentAt = (revision: number, north: number): DocumentInput => {
+  const doc = layoutDocument(tinyLayout, revision);
   return { ...doc, services: doc.services.map((s) => ({ ...s, shares: { north, south: 1 } })) };
 };
 
@@ -46,7 +46,7 @@
   check = () => true;
 
   async run(model: Model): Promise<void> {
-    const result = await applyDocument(kv, docAt(model.accepted, this.north), {
+    const result = await applyDocument(kv, documentAt(model.accepted, this.north), {
       key: KEY,
       backoffMs: 5,
     });
@@ -55,7 +55,7 @@
       model.accepted += 1;
       model.north = this.north;
     } else {
-      // Only an unreachable store may refuse an apply from the current revision.
+      // An apply based on the current revision may fail only if the store is unavailable.
       expect(result.error.kind).toBe('store-unavailable');
     }
   }
@@ -90,8 +90,8 @@
   toString = () => `wait(${this.ms})`;
 }
 
-describe('configuration in force', () => {
-  it('never reverts and reaches every follower once the store is back', async () => {
+describe('configuration propagation', () => {
+  it('never reverts and reaches every follower once the store is available again', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.commands(
@@ -139,30 +139,29 @@
     );
   }, 120_000);
 
-  it('lets exactly one of two racing operators win', async () => {
-    // Symptom: one volunteer's change silently overwrites another's.
-    // Sequence: both load revision N, both apply at once.
-    // Cause it guards against: a write without compare-and-swap.
+  it('accepts exactly one of two concurrent changes', async () => {
+    // Guards against a write without compare-and-swap: two operators load
+    // revision N and apply at the same time, and one change silently overwrites
+    // the other.
     Object.assign(platform.kv.faults, { down: false, delayMs: 0, loseReplies: 0 });
     await kv.delete(KEY);
-    const first = await applyDocument(kv, docAt(0, 1), { key: KEY });
+    const first = await applyDocument(kv, documentAt(0, 1), { key: KEY });
     expect(first.isOk()).toBe(true);
     const results = await Promise.all([
-      applyDocument(kv, docAt(1, 2), { key: KEY }),
-      applyDocument(kv, docAt(1, 3), { key: KEY }),
+      applyDocument(kv, documentAt(1, 2), { key: KEY }),
+      applyDocument(kv, documentAt(1, 3), { key: KEY }),
     ]);
     const kinds = results.map((r) => (r.isOk() ? 'ok' : r.error.kind)).sort();
     expect(kinds).toEqual(['document-stale', 'ok']);
   });
 
-  it('learns that a write took effect when its reply was lost', async () => {
-    // Symptom: the console reports failure (or applies twice) after a
-    // timeout although the store had taken the write. Sequence: the write
-    // is applied, the reply is dropped. Cause it guards against: treating
-    // a lost reply as "not written".
+  it('detects that a write took effect although its response was lost', async () => {
+    // Guards against treating a lost response as "not written": the store
+    // applies the write and drops the response, and the console reports a
+    // failure or applies the document twice after the timeout.
     await kv.delete(KEY);
     platform.kv.faults.loseReplies = 1;
-    const result = await applyDocument(kv, docAt(0, 4), { key: KEY });
+    const result = await applyDocument(kv, documentAt(0, 4), { key: KEY });
     expect(result.isOk() && result.value.revision).toBe(1);
     const stored = await kv.get(KEY);
     expect(stored.isOk() && JSON.parse(stored.value?.value ?? '{}').revision).toBe(1);
--- a/packages/cli/src/__tests__/drain.test.ts
+++ b/packages/cli/src/__tests__/drain.test.ts
@@ -1,19 +1,18 @@
 /**
- * Planned stops: a leaving target gets no new work within a few seconds,
- * and no request in flight is cut, long downloads included.
+ * Graceful shutdown: a draining target receives no new requests after a few
+ * seconds, and no request in flight is interrupted, including long downloads.
  */
 import { describe, expect, it } from 'vitest';
 import { Caller } from '@cardamomladder/callers';
-import { send, sleep, useCluster } from '../__fixtures__/tiny';
+import { sendRequest, sleep, useCluster } from '../__fixtures__/testCluster';
 
 const cluster = useCluster({ memberLagMs: 1000, streamMs: { bundle: 1500 } });
 
 describe('drains', () => {
-  it('sends no new work to a leaving target a few seconds after it starts to leave', async () => {
-    // Symptom: requests keep landing on a target that is being drained.
-    // Sequence: the target starts to leave; the member list publishes this
-    // a second later and entries poll it every 500 ms. Cause it guards
-    // against: entries trusting only the lagging list.
+  it('sends no new requests to a target a few seconds after it starts draining', async () => {
+    // Guards against entries that rely on the member list alone and keep sending
+    // requests to a draining target: the list publishes the state a second later
+    // and entries poll it every 500 ms.
     const [leaving] = cluster().upstreams.get('lookup') ?? [];
     const caller = new Caller(
       cluster().entries.map((e) => ({
@@ -24,31 +23,30 @@
       })),
     );
     const draining = leaving.drain();
-    const busy = async (ms: number) => {
+    const sendLookupsFor = async (ms: number) => {
       const until = Date.now() + ms;
       const results = [];
       while (Date.now() < until) results.push(await caller.call('lookup'));
       return results;
     };
-    const early = await busy(2000);
+    const firstResults = await sendLookupsFor(2000);
     const refusedAt2s = leaving.stats.refusedDraining;
-    const late = await busy(1500);
+    const laterResults = await sendLookupsFor(1500);
     caller.close();
     await draining;
     expect(leaving.stats.refusedDraining).toBe(refusedAt2s);
-    expect([...early, ...late].filter((r) => r.outcome !== 'ok')).toEqual([]);
+    expect([...firstResults, ...laterResults].filter((r) => r.outcome !== 'ok')).toEqual([]);
   });
 
-  it('lets a long download finish whole when its target stops', async () => {
-    // Symptom: a surveyor's bundle download breaks off during maintenance.
-    // Sequence: a 2 MiB answer is streaming over 1.5 s; the operator stops
-    // the target. Cause it guards against: a stop that closes connections
-    // before work in flight ends.
+  it('completes a long download when its target stops', async () => {
+    // Guards against closing connections before requests in flight complete: an
+    // operator stops the target while it streams a 2 MiB response over 1.5 s,
+    // and the download is interrupted.
     const entry = cluster().entries[0].address;
-    const downloads = [send(entry, '/s/bundle/plan'), send(entry, '/s/bundle/plan')];
+    const downloads = [sendRequest(entry, '/s/bundle/plan'), sendRequest(entry, '/s/bundle/plan')];
     await sleep(300);
-    const ups = cluster().upstreams.get('bundle') ?? [];
-    const busiest = ups.reduce((a, b) => (b.inflight() > a.inflight() ? b : a));
+    const upstreams = cluster().upstreams.get('bundle') ?? [];
+    const busiest = upstreams.reduce((a, b) => (b.inflight() > a.inflight() ? b : a));
     expect(busiest.inflight()).toBeGreaterThan(0);
     const drainMs = await busiest.drain();
     const answers = await Promise.all(downloads);
@@ -59,18 +57,17 @@
     expect(drainMs).toBeGreaterThan(500);
   });
 
-  it('stops an entry gracefully: requests in flight finish, new ones are told to go elsewhere', async () => {
-    // Symptom: a kiosk's briefing cut off when an entry instance is replaced.
-    // Sequence: a download runs through entry 1; entry 1 is stopped.
-    // Cause it guards against: closing the listener's connections at once.
+  it('stops an entry gracefully: requests in flight complete, new ones are rejected', async () => {
+    // Guards against closing the listener's connections immediately: a download
+    // runs through entry 1, and is interrupted when entry 1 is stopped.
     const entry = cluster().entries[1];
-    const ups = cluster().upstreams.get('bundle') ?? [];
-    if (ups.every((u) => u.inflight() === 0)) await sleep(10);
-    const download = send(entry.address, '/s/bundle/plan');
+    const upstreams = cluster().upstreams.get('bundle') ?? [];
+    if (upstreams.every((u) => u.inflight() === 0)) await sleep(10);
+    const download = sendRequest(entry.address, '/s/bundle/plan');
     await sleep(200);
     const stopping = entry.stop();
     await sleep(50);
-    const refused = await send(entry.address, '/s/lookup/x').catch(() => ({
+    const refused = await sendRequest(entry.address, '/s/lookup/x').catch(() => ({
       status: 0,
       outcome: 'closed',
     }));
--- a/packages/cli/src/__tests__/processes.test.ts
+++ b/packages/cli/src/__tests__/processes.test.ts
@@ -1,8 +1,8 @@
 /**
- * The whole path across separate OS processes, as an operator starts them:
- * platform stand-in, target stand-ins, an entry daemon, the console and the
- * load tool, each its own `node dist/cardamomladder.cjs` process. The test
- * starts them; the daemon never starts another process.
+ * End-to-end test with separate processes, as an operator starts them: platform
+ * stand-in, target stand-ins, an entry daemon, the console and the load
+ * generator each run as a `node dist/cardamomladder.cjs` process. The test starts
+ * them all; the daemon never starts another process.
  */
 import type { ChildProcess } from 'node:child_process';
 import { spawn } from 'node:child_process';
@@ -19,7 +19,7 @@
 const children: ChildProcess[] = [];
 
 /** Starts the CLI and resolves with the first JSON line it prints. */
-const start = (args: string[]): Promise<Record<string, unknown>> =>
+const startCommand = (args: string[]): Promise<Record<string, unknown>> =>
   new Promise((resolve, reject) => {
     const child = spawn(process.execPath, [BIN, ...args], {
       stdio: ['ignore', 'pipe', 'pipe'],
@@ -36,7 +36,7 @@
   });
 
 /** Runs the CLI to completion and returns its exit code and output. */
-const run = (args: string[]): Promise<{ code: number | null; out: string }> =>
+const runCommand = (args: string[]): Promise<{ code: number | null; out: string }> =>
   new Promise((resolve) => {
     const child = spawn(process.execPath, [BIN, ...args], {
       stdio: ['ignore', 'pipe', 'pipe'],
@@ -52,7 +52,7 @@
     child.on('exit', (code) => resolve({ code, out }));
   });
 
-const exited = (child: ChildProcess) =>
+const exitCodeOf = (child: ChildProcess) =>
   new Promise<number | null>((resolve) => {
     if (child.exitCode !== null) resolve(child.exitCode);
     else child.on('exit', (code) => resolve(code));
@@ -78,9 +78,16 @@
 describe('separate processes', () => {
   it('serves a request end to end and stops gracefully', async () => {
     const dir = await mkdtemp(join(tmpdir(), 'cardamomladder-'));
-    const platform = await start(['standin', 'platform', '--port', '0', '--member-lag-ms', '200']);
+    const platform = await startCommand([
+      'standin',
+      'platform',
+      '--port',
+      '0',
+      '--member-lag-ms',
+      '200',
+    ]);
     const url = String(platform.url);
-    await start([
+    await startCommand([
       'standin',
       'target',
       '--platform',
@@ -107,8 +114,8 @@
           .map((s) => ({ ...s, shares: { reykjavik: 1 } })),
       }),
     );
-    expect((await run(['console', 'validate', doc])).code).toBe(0);
-    const applied = await run(['console', 'apply', doc, '--platform', url]);
+    expect((await runCommand(['console', 'validate', doc])).code).toBe(0);
+    const applied = await runCommand(['console', 'apply', doc, '--platform', url]);
     expect(applied.code).toBe(0);
     const settings = join(dir, 'entry.json');
     await writeFile(
@@ -120,7 +127,7 @@
         platform: { url },
       }),
     );
-    const entry = await start(['entry', '--settings', settings]);
+    const entry = await startCommand(['entry', '--settings', settings]);
     const address = String(entry.address);
     let status = 0;
     for (let i = 0; i < 50 && status !== 200; i += 1) {
@@ -131,7 +138,7 @@
         });
     }
     expect(status).toBe(200);
-    const load = await run([
+    const load = await runCommand([
       'load',
       '--entry',
       address,
@@ -152,6 +159,6 @@
     );
     expect(report.services[0].ok).toBe(report.services[0].requests);
     children.forEach((c) => c.kill('SIGTERM'));
-    expect(await Promise.all(children.map(exited))).toEqual(children.map(() => 0));
+    expect(await Promise.all(children.map(exitCodeOf))).toEqual(children.map(() => 0));
   }, 60_000);
 });
--- a/packages/cli/src/__tests__/silent.test.ts
+++ b/packages/cli/src/__tests__/silent.test.ts
@@ -1,60 +1,59 @@
 /**
- * Connections that go silent for good while new ones work, and targets
- * that stop answering: a lookup is answered from another target within its
- * deadline; a booking is answered "unknown", never sent twice.
+ * Targets that accept requests and stop responding, as on connections that fail
+ * without being closed while new ones work: a lookup is answered by another
+ * target within its deadline; a booking is answered "unknown", never sent twice.
  */
 import { describe, expect, it } from 'vitest';
-import { send, useCluster } from '../__fixtures__/tiny';
+import { sendRequest, useCluster } from '../__fixtures__/testCluster';
 
 const cluster = useCluster({ memberLagMs: 200 });
 
-describe('silent targets', () => {
-  it('answers a lookup from another target before the deadline when one goes silent', async () => {
-    // Symptom: a kiosk lookup hangs until its deadline. Sequence: one
-    // target accepts requests and never answers. Cause it guards against:
-    // one attempt allowed the whole deadline, leaving no time to retry.
+describe('unresponsive targets', () => {
+  it('answers a lookup from another target before the deadline when one stops responding', async () => {
+    // Guards against an attempt that may take the whole deadline and leaves no
+    // time to retry: one target accepts requests and never responds, and the
+    // lookup hangs until its deadline.
     const [silent] = cluster().upstreams.get('lookup') ?? [];
     silent.faults.silent = true;
     const started = performance.now();
-    // Each region has one target with four slots and the region is drawn at
-    // random: more than four at once may draw one region and be refused for
-    // lack of room, which is not what is tested here.
-    const round = () =>
+    // Each region has one target with four slots, and the region is chosen at
+    // random: with more than four concurrent lookups, one region could be chosen
+    // too often and reject some for lack of capacity, which is not tested here.
+    const sendLookups = () =>
       Promise.all(
-        Array.from({ length: 4 }, () => send(cluster().entries[0].address, '/s/lookup/x')),
+        Array.from({ length: 4 }, () => sendRequest(cluster().entries[0].address, '/s/lookup/x')),
       );
-    const replies = [...(await round()), ...(await round())];
+    const replies = [...(await sendLookups()), ...(await sendLookups())];
     const elapsed = performance.now() - started;
     silent.faults.silent = false;
     expect(replies.map((r) => r.outcome)).toEqual(new Array(8).fill('ok'));
     expect(elapsed).toBeLessThan(2000);
   });
 
-  it('stops choosing a target that went silent once an attempt to it timed out', async () => {
-    // Symptom: every other lookup takes a second while one target is
-    // silent. Sequence: one attempt to the silent target times out; later
-    // lookups keep drawing it. Cause: nothing remembered the timeout.
+  it('stops choosing an unresponsive target once an attempt to it timed out', async () => {
+    // Guards against discarding the timeout of an attempt: later lookups keep
+    // choosing the unresponsive target, and every other lookup takes a second.
     const [silent] = cluster().upstreams.get('lookup') ?? [];
     silent.faults.silent = true;
     await Promise.all(
-      Array.from({ length: 4 }, () => send(cluster().entries[0].address, '/s/lookup/x')),
+      Array.from({ length: 4 }, () => sendRequest(cluster().entries[0].address, '/s/lookup/x')),
     );
     const started = performance.now();
-    for (let i = 0; i < 10; i += 1) await send(cluster().entries[0].address, '/s/lookup/x');
+    for (let i = 0; i < 10; i += 1) await sendRequest(cluster().entries[0].address, '/s/lookup/x');
     const elapsed = performance.now() - started;
     silent.faults.silent = false;
     expect(elapsed).toBeLessThan(500);
   });
 
-  it('answers a booking "unknown" and does not send it again when its target goes silent', async () => {
-    const ups = cluster().upstreams.get('book') ?? [];
-    ups.forEach((u) => Object.assign(u.faults, { silent: true }));
-    const reply = await send(cluster().entries[1].address, '/s/book/x', {
+  it('answers a booking "unknown" and does not send it again when its target stops responding', async () => {
+    const upstreams = cluster().upstreams.get('book') ?? [];
+    upstreams.forEach((u) => Object.assign(u.faults, { silent: true }));
+    const reply = await sendRequest(cluster().entries[1].address, '/s/book/x', {
       method: 'POST',
       body: '{}',
       headers: { 'idempotency-key': 'arrival-7' },
     });
-    ups.forEach((u) => Object.assign(u.faults, { silent: false }));
+    upstreams.forEach((u) => Object.assign(u.faults, { silent: false }));
     expect([reply.status, reply.outcome]).toEqual([504, 'unknown']);
   });
 });
--- a/packages/cli/src/commandLine.ts
+++ b/packages/cli/src/commandLine.ts
@@ -1,8 +1,8 @@
 /**
- * The `cardamomladder` command line, but for the instance, whose platform the
- * binary adds. Each command is a thin wrapper over a library function in
- * `commands/`; exit codes: 0 done, 1 failed, 2 bad input (settings, document,
- * arguments), 3 stale document.
+ * The `cardamomladder` command line, without the `instance` command, which the
+ * binary adds because it depends on the platform. Each command is a thin wrapper
+ * around a function in `commands/`. Exit codes: 0 success, 1 failure, 2 bad input
+ * (settings, document, arguments), 3 stale document.
  */
 import type { CAC } from 'cac';
 import { cac } from 'cac';
@@ -14,7 +14,7 @@
 import { loadCommand } from './commands/load';
 import { platformCommand, targetCommand } from './commands/standin';
 
-const run = (work: Promise<number>) => {
+const exitWithResult = (work: Promise<number>) => {
   work.then(
     (code) => process.exit(code),
     (error: Error) => {
@@ -24,38 +24,40 @@
   );
 };
 
-const addEntry = (cli: CAC): void => {
+const addEntryCommand = (cli: CAC): void => {
   cli
     .command('entry', 'Run one entry daemon')
     .option('--settings <file>', 'Settings JSON file (see docs/configuration.md)')
     .action((o: { settings?: string }) => {
       if (!o.settings) {
         console.error(
-          'give --settings <file>: the entry needs its id, failure domain and platform url',
+          '--settings <file> is required: the entry needs its id, failure domain and platform URL',
         );
         process.exit(2);
       }
-      run(entryCommand(o.settings));
+      exitWithResult(entryCommand(o.settings));
     });
 };
 
-const addConsole = (cli: CAC): void => {
+const addConsoleCommand = (cli: CAC): void => {
   cli
     .command('console <action> [file]', "Operators' document: validate <file>, apply <file>, show")
     .option('--platform <url>', 'Platform service URL', { default: 'http://127.0.0.1:7400' })
     .option('--key <key>', 'KV key of the document', { default: 'cardamomladder/document' })
     .action((action: string, file: string | undefined, o: { platform: string; key: string }) => {
-      if (action === 'show') run(showCommand(o.platform, o.key));
+      if (action === 'show') exitWithResult(showCommand(o.platform, o.key));
       else if ((action === 'validate' || action === 'apply') && file) {
-        run(action === 'validate' ? validateCommand(file) : applyCommand(file, o.platform, o.key));
+        exitWithResult(
+          action === 'validate' ? validateCommand(file) : applyCommand(file, o.platform, o.key),
+        );
       } else {
-        console.error('use: console validate <file> | console apply <file> | console show');
+        console.error('usage: console validate <file> | console apply <file> | console show');
         process.exit(2);
       }
     });
 };
 
-const addStandin = (cli: CAC): void => {
+const addStandinCommand = (cli: CAC): void => {
   cli
     .command(
       'standin <kind>',
@@ -63,18 +65,20 @@
     )
     .option('--host <host>', 'Listen address', { default: '127.0.0.1' })
     .option('--port <port>', 'Platform port (0: any)', { default: 7400 })
-    .option('--member-lag-ms <ms>', 'How stale the member list is', { default: 1000 })
+    .option('--member-lag-ms <ms>', 'Maximum age of the member list', {
+      default: 1000,
+    })
     .option('--platform <url>', 'Platform URL (target)', { default: 'http://127.0.0.1:7400' })
     .option('--service <name>', 'Service of the targets', { default: 'stada' })
     .option('--region <name>', 'Region of the targets', { default: 'reykjavik' })
     .option('--failure-domain <name>', 'Failure domain of the targets', { default: 'rvk-a' })
     .option('--count <n>', 'Upstreams to run', { default: 1 })
     .option('--slots <n>', 'Slots per upstream', { default: 9 })
-    .option('--service-ms <ms>', 'Work time per request', { default: 4 })
-    .option('--answer-bytes <n>', 'Answer size', { default: 600 })
+    .option('--service-ms <ms>', 'Processing time per request', { default: 4 })
+    .option('--answer-bytes <n>', 'Response size', { default: 600 })
     .action((kind: string, o: Record<string, string | number>) => {
       if (kind === 'platform') {
-        run(
+        exitWithResult(
           platformCommand({
             host: String(o.host),
             port: Number(o.port),
@@ -82,7 +86,7 @@
           }),
         );
       } else if (kind === 'target') {
-        run(
+        exitWithResult(
           targetCommand({
             platform: String(o.platform),
             service: String(o.service),
@@ -96,30 +100,34 @@
           }),
         );
       } else {
-        console.error(`unknown stand-in '${kind}'; use platform or target`);
+        console.error(`unknown stand-in '${kind}'; expected platform or target`);
         process.exit(2);
       }
     });
 };
 
-const addLoad = (cli: CAC): void => {
+const addLoadCommand = (cli: CAC): void => {
   cli
-    .command('load', "Drive callers' requests through running entries")
-    .option('--entry <host:port>', 'Any entry, to learn the others from')
+    .command('load', 'Generate load on running entries')
+    .option('--entry <host:port>', 'Any running entry; the others are discovered from it')
     .option('--services <list>', 'Comma-separated services', { default: 'stada' })
-    .option('--non-idempotent <list>', 'Services sent at most once, with idempotency keys', {
-      default: 'boka,gatebook',
-    })
+    .option(
+      '--non-idempotent <list>',
+      'Services whose requests are sent at most once, with idempotency keys',
+      {
+        default: 'boka,gatebook',
+      },
+    )
     .option('--failure-domain <name>', "Caller's failure domain")
-    .option('--concurrency <n>', 'Callers at once', { default: 8 })
-    .option('--duration-ms <ms>', 'How long', { default: 5000 })
-    .option('--max-requests <n>', 'Stop after this many')
+    .option('--concurrency <n>', 'Concurrent callers', { default: 8 })
+    .option('--duration-ms <ms>', 'Duration of the load', { default: 5000 })
+    .option('--max-requests <n>', 'Stop after this many requests')
     .action((o: Record<string, string | number | undefined>) => {
       if (!o.entry) {
-        console.error('give --entry <host:port> of a running entry');
+        console.error('--entry <host:port> is required: the address of a running entry');
         process.exit(2);
       }
-      run(
+      exitWithResult(
         loadCommand({
           entry: String(o.entry),
           services: String(o.services),
@@ -133,18 +141,18 @@
     });
 };
 
-const addDemo = (cli: CAC): void => {
+const addDemoCommand = (cli: CAC): void => {
   cli
     .command(
       'demo',
       'Run every role and stand-in in one process and print latency, headroom and drain time',
     )
     .option('--layout <name>', 'hraunvidd or waitaha', { default: 'hraunvidd' })
-    .option('--duration-ms <ms>', 'Load time', { default: 6000 })
-    .option('--concurrency <n>', 'Callers at once, across failure domains', { default: 48 })
+    .option('--duration-ms <ms>', 'Duration of the load', { default: 6000 })
+    .option('--concurrency <n>', 'Concurrent callers across all failure domains', { default: 48 })
     .option('--json', 'Print the report as JSON')
     .action((o: { layout: string; durationMs: number; concurrency: number; json?: boolean }) =>
-      run(
+      exitWithResult(
         demoCommand({
           layout: o.layout,
           durationMs: Number(o.durationMs),
@@ -155,29 +163,35 @@
     );
 };
 
-const addExplain = (cli: CAC): void => {
+const addExplainCommand = (cli: CAC): void => {
   cli
     .command(
       'explain <id> [...files]',
-      'Tell the story of one request from log files or standard input',
+      'Explain the outcome of one request from log files or standard input',
     )
     .example('cardamomladder explain 9c41d07be2a35f68 north-1.log north-2.log')
-    .action((id: string, files: string[]) => run(explainCommand(id, files)));
+    .action((id: string, files: string[]) => exitWithResult(explainCommand(id, files)));
 };
 
-const addCheck = (cli: CAC): void => {
+const addCheckCommand = (cli: CAC): void => {
   cli
     .command('check <file>', "Validate an instance's settings file")
     .example('cardamomladder check settings.json')
-    .action((file: string) => run(checkCommand(file)));
+    .action((file: string) => exitWithResult(checkCommand(file)));
 };
 
-/** All commands but `instance`. */
+/** Creates the command line with all commands except `instance`. */
 export const commandLine = (): CAC => {
   const cli = cac('cardamomladder');
-  [addEntry, addConsole, addStandin, addLoad, addDemo, addExplain, addCheck].forEach((add) =>
-    add(cli),
-  );
+  [
+    addEntryCommand,
+    addConsoleCommand,
+    addStandinCommand,
+    addLoadCommand,
+    addDemoCommand,
+    addExplainCommand,
+    addCheckCommand,
+  ].forEach((addCommand) => addCommand(cli));
   cli.help();
   cli.version('0.1.0');
   return cli;
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -1,7 +1,7 @@
-/** `cardamomladder check FILE`: validates an instance's settings before they are used. */
+/** `cardamomladder check FILE`: validates an instance's settings file. */
 import { loadInstanceSettings } from '@cardamomladder/settings';
 
-/** Runs the command; 0 when the file is good, 2 when not. */
+/** Runs the command; returns exit code 0 if the file is valid, otherwise 2. */
 export const checkCommand = async (file: string): Promise<number> => {
   const settings = await loadInstanceSettings(file);
   if (settings.isErr()) {
@@ -9,6 +9,6 @@
     return 2;
   }
   const { instance } = settings.value;
-  console.log(`${file}: good; instance ${instance.id} in ${instance.failureDomain}`);
+  console.log(`${file}: valid; instance ${instance.id} in ${instance.failureDomain}`);
   return 0;
 };
--- a/packages/cli/src/commands/console.ts
+++ b/packages/cli/src/commands/console.ts
@@ -1,10 +1,10 @@
-/** `cardamomladder console validate|apply|show`: the operators' document against the platform KV. */
+/** `cardamomladder console validate|apply|show`: manages the operators' document in the platform KV. */
 import { readFile } from 'node:fs/promises';
 import { DOCUMENT_KEY, applyDocument, readDocument } from '@cardamomladder/console';
 import { parseDocument } from '@cardamomladder/document';
 import { createKvClient } from '@cardamomladder/platform-kv';
 
-/** Validates a document file; exit 0 when valid. */
+/** Validates a document file; returns exit code 0 if it is valid. */
 export const validateCommand = async (file: string): Promise<number> => {
   const parsed = parseDocument(await readFile(file, 'utf8'));
   if (parsed.isErr()) {
@@ -37,7 +37,7 @@
   return 0;
 };
 
-/** Prints the document in force. */
+/** Prints the current document. */
 export const showCommand = async (platform: string, key = DOCUMENT_KEY): Promise<number> => {
   const read = await readDocument(createKvClient({ url: platform }), key);
   if (read.isErr()) {
--- a/packages/cli/src/commands/demo.ts
+++ b/packages/cli/src/commands/demo.ts
@@ -1,6 +1,6 @@
-/** `cardamomladder demo`: the whole deployment in one process; see demo/runDemo.ts. */
+/** `cardamomladder demo`: runs a whole deployment in one process; see demo/runDemo.ts. */
 import { layouts } from '@cardamomladder/document';
-import { formatDemo, runDemo } from '../demo/runDemo';
+import { formatDemoReport, runDemo } from '../demo/runDemo';
 
 /** Options of `demo`. */
 export interface DemoOptions {
@@ -10,7 +10,7 @@
   json?: boolean;
 }
 
-/** Runs the demo and prints its report. */
+/** Runs the demo and prints its report; returns exit code 1 if a request was interrupted. */
 export const demoCommand = async (options: DemoOptions): Promise<number> => {
   const layout = layouts[options.layout];
   if (!layout) {
@@ -20,6 +20,6 @@
     return 2;
   }
   const report = await runDemo(layout, options.durationMs, options.concurrency);
-  console.log(options.json ? JSON.stringify(report, null, 2) : formatDemo(report));
+  console.log(options.json ? JSON.stringify(report, null, 2) : formatDemoReport(report));
   return report.cutOff === 0 ? 0 : 1;
 };
--- a/packages/cli/src/commands/entry.ts
+++ b/packages/cli/src/commands/entry.ts
@@ -5,7 +5,7 @@
 
 const log = logger('cli');
 
-/** Starts the entry daemon; resolves with the exit code after a graceful stop. */
+/** Starts the entry daemon; resolves with the exit code after a graceful shutdown. */
 export const entryCommand = async (settingsFile: string): Promise<number> => {
   const loaded = await loadSettings(settingsFile);
   if (loaded.isErr()) {
--- a/packages/cli/src/commands/load.ts
+++ b/packages/cli/src/commands/load.ts
@@ -1,4 +1,4 @@
-/** `cardamomladder load`: drives callers' requests through running entries and prints figures. */
+/** `cardamomladder load`: generates load on running entries and reports the results. */
 import { discoverEntries } from '@cardamomladder/callers';
 import { runLoad } from '@cardamomladder/load';
 
@@ -13,18 +13,18 @@
   maxRequests?: number;
 }
 
-/** Runs the load and prints its report as JSON. */
+/** Runs the load and prints its report as JSON; returns exit code 1 on transport errors. */
 export const loadCommand = async (options: LoadCommandOptions): Promise<number> => {
-  const listed = await discoverEntries(options.entry, options.failureDomain);
+  const discovered = await discoverEntries(options.entry, options.failureDomain);
   const entries = options.failureDomain
-    ? listed.entries.filter((e) => e.failureDomain === options.failureDomain)
-    : listed.entries;
-  const once = new Set(options.nonIdempotent.split(',').filter(Boolean));
+    ? discovered.entries.filter((e) => e.failureDomain === options.failureDomain)
+    : discovered.entries;
+  const atMostOnceServices = new Set(options.nonIdempotent.split(',').filter(Boolean));
   const mix = options.services
     .split(',')
-    .map((service) => ({ service, weight: 1, idempotent: !once.has(service) }));
+    .map((service) => ({ service, weight: 1, idempotent: !atMostOnceServices.has(service) }));
   const report = await runLoad({
-    entries: entries.length > 0 ? entries : listed.entries,
+    entries: entries.length > 0 ? entries : discovered.entries,
     mix,
     concurrency: options.concurrency,
     durationMs: options.durationMs,
--- a/packages/cli/src/commands/standin.ts
+++ b/packages/cli/src/commands/standin.ts
@@ -1,17 +1,17 @@
-/** `cardamomladder standin platform|target`: the stand-ins for the platform and for targets. */
+/** `cardamomladder standin platform|target`: runs stand-ins for the platform or for targets. */
 import { createMemberClient, createMemberListStandin } from '@cardamomladder/member-list';
 import { startPlatformStandin } from '@cardamomladder/platform-kv';
 import type { Upstream } from '@cardamomladder/targets';
 import { startUpstream } from '@cardamomladder/targets';
 import { enableLogs } from '@cardamomladder/telemetry';
 
-const untilSignal = () =>
+const waitForTerminationSignal = () =>
   new Promise<void>((resolve) => {
     process.once('SIGTERM', resolve);
     process.once('SIGINT', resolve);
   });
 
-/** Runs the platform stand-in (KV and member list) until a signal. */
+/** Runs the platform stand-in (KV and member list) until SIGTERM or SIGINT. */
 export const platformCommand = async (options: {
   host: string;
   port: number;
@@ -25,7 +25,7 @@
     handlers: [members.handle],
   });
   console.log(JSON.stringify({ url: platform.url }));
-  await untilSignal();
+  await waitForTerminationSignal();
   members.stop();
   await platform.stop();
   return 0;
@@ -44,7 +44,7 @@
   host: string;
 }
 
-/** Runs `count` upstream stand-ins; on a signal each drains, then exits. */
+/** Runs `count` target stand-ins until SIGTERM or SIGINT, then drains them and prints the drain times. */
 export const targetCommand = async (options: TargetCommandOptions): Promise<number> => {
   enableLogs(process.env.DEBUG ?? 'cardamomladder:*,-cardamomladder:trace');
   const members = createMemberClient(options.platform);
@@ -67,8 +67,8 @@
   console.log(
     JSON.stringify({ targets: upstreams.map((u) => ({ id: u.id, address: u.address })) }),
   );
-  await untilSignal();
-  const drains = await Promise.all(upstreams.map((u) => u.stop()));
-  console.log(JSON.stringify({ drainMs: drains }));
+  await waitForTerminationSignal();
+  const drainTimes = await Promise.all(upstreams.map((u) => u.stop()));
+  console.log(JSON.stringify({ drainMs: drainTimes }));
   return 0;
 };
--- a/packages/cli/src/demo/cluster.ts
+++ b/packages/cli/src/demo/cluster.ts
@@ -1,7 +1,7 @@
 /**
- * Starts a whole deployment in this process on loopback: the platform
- * stand-in, target stand-ins for a layout, and entry daemons. Used by the
- * demo and by tests; the daemon itself never starts other processes.
+ * Runs a whole deployment in this process on the loopback interface: the
+ * platform stand-in, target stand-ins for a layout, and entry daemons. Used by
+ * the demo and by tests; the daemon itself never starts other processes.
  */
 import type { Result } from 'neverthrow';
 import type { Failure } from '@cardamomladder/types';
@@ -35,9 +35,9 @@
   /** Entry instances per failure domain. */
   entriesPerDomain?: number;
   memberLagMs?: number;
-  /** Scales every upstream's work time; 1 is the layout's figure. */
+  /** Factor for the processing time of every target; 1 keeps the layout's value. */
   serviceScale?: number;
-  /** Streaming time of each answer per service, in ms (long downloads). */
+  /** Time over which a response is streamed, in ms, per service (long downloads). */
   streamMs?: Record<string, number>;
 }
 
@@ -46,7 +46,7 @@
   return result.value;
 };
 
-/** Starts platform, targets and entries for `layout`, applies its document, and waits until all entries are ready. */
+/** Starts platform, targets and entries for `layout`, applies its document and waits for the entries to be ready. */
 export const startCluster = async (options: ClusterOptions): Promise<Cluster> => {
   const { layout } = options;
   const members = createMemberListStandin(options.memberLagMs ?? 500);
@@ -57,12 +57,12 @@
   for (const service of layout.services) {
     const started = await Promise.all(
       Array.from({ length: service.upstreams }, (_, i) => {
-        const place = upstreamDomain(layout, i);
+        const location = upstreamDomain(layout, i);
         return startUpstream({
-          id: `${service.name}-${place.failureDomain}-${i}`,
+          id: `${service.name}-${location.failureDomain}-${i}`,
           service: service.name,
-          region: place.region,
-          failureDomain: place.failureDomain,
+          region: location.region,
+          failureDomain: location.failureDomain,
           slots: service.slots,
           serviceMs: service.serviceMs * (options.serviceScale ?? 1),
           answerBytes: service.answerBytes,
@@ -94,14 +94,15 @@
     }
   }
   const documents = await Promise.all(entries.map((e) => e.ready()));
-  // The member list lags; wait until every entry sees every target.
+  // The member list is published with a delay: wait, up to 10 s, until every
+  // entry knows every target.
   const total = layout.services.reduce((s, svc) => s + svc.upstreams, 0);
   const deadline = Date.now() + 10_000;
   while (Date.now() < deadline) {
-    const seen = entries.map((e) =>
+    const targetCounts = entries.map((e) =>
       [...e.fleet.services.values()].reduce((s, svc) => s + svc.targets.size, 0),
     );
-    if (seen.every((n) => n === total)) break;
+    if (targetCounts.every((n) => n === total)) break;
     await new Promise((resolve) => {
       setTimeout(resolve, 100);
     });
--- a/packages/cli/src/demo/runDemo.ts
+++ b/packages/cli/src/demo/runDemo.ts
@@ -1,8 +1,8 @@
 /**
- * The demo behind `npm start`: a whole deployment of the brief's layout in
- * one process on loopback. It drives callers' requests through the entries,
- * drains one target of each service under load, and prints the three
- * figures the brief measures: latency, headroom per region, drain time.
+ * The demo that `npm start` runs: a whole deployment of a layout in one process
+ * on the loopback interface. It generates load on the entries, drains one target
+ * of each service under load, and reports the three measurements that the
+ * project's requirements name: latency, headroom per region and drain time.
  */
 import type { Layout } from '@cardamomladder/document';
 import type { EntryAddress } from '@cardamomladder/callers';
@@ -11,18 +11,18 @@
 import { runLoad } from '@cardamomladder/load';
 import { startCluster } from './cluster';
 
-/** What the demo measured. */
+/** Measurements of a demo run. */
 export interface DemoReport {
   layout: string;
   load: LoadReport;
-  /** Headroom per service and region at the busiest entry, at the end of the load. */
+  /** Headroom per service and region as estimated by the first entry at the end of the load. */
   headroom: Record<string, Record<string, number>>;
   drains: { target: string; drainMs: number }[];
-  /** Requests that a drain cut off (must be 0). */
+  /** Requests that ended with a transport error, as one interrupted by a drain does (must be 0). */
   cutOff: number;
 }
 
-/** Runs the demo for `durationMs` of load and returns its figures. */
+/** Runs the demo with `durationMs` of load and returns its measurements. */
 export const runDemo = async (
   layout: Layout,
   durationMs: number,
@@ -32,8 +32,8 @@
   try {
     const seed = cluster.entries[0].address;
     const byDomain = new Map<string, EntryAddress[]>();
-    const listed = await discoverEntries(seed);
-    listed.entries.forEach((e) =>
+    const discovered = await discoverEntries(seed);
+    discovered.entries.forEach((e) =>
       byDomain.set(e.failureDomain, [...(byDomain.get(e.failureDomain) ?? []), e]),
     );
     const mix = layout.services.map((s) => ({
@@ -54,9 +54,9 @@
       setTimeout(resolve, durationMs / 2);
     });
     const drains = await Promise.all(
-      [...cluster.upstreams.entries()].map(async ([, ups]) => ({
-        target: ups[0].id,
-        drainMs: await ups[0].drain(),
+      [...cluster.upstreams.entries()].map(async ([, upstreams]) => ({
+        target: upstreams[0].id,
+        drainMs: await upstreams[0].drain(),
       })),
     );
     const results = await Promise.all(loads);
@@ -68,23 +68,25 @@
       );
     });
     const services = layout.services.map((s) => {
-      const parts = results
+      const serviceReports = results
         .map((r) => r.services.find((x) => x.service === s.name))
         .filter((x) => x !== undefined);
-      const requests = parts.reduce((a, p) => a + p.requests, 0);
-      const weighted = (pick: (p: (typeof parts)[number]) => number) =>
-        requests === 0 ? 0 : parts.reduce((a, p) => a + pick(p) * p.requests, 0) / requests;
+      const requests = serviceReports.reduce((a, p) => a + p.requests, 0);
+      const weightedMean = (pick: (p: (typeof serviceReports)[number]) => number) =>
+        requests === 0
+          ? 0
+          : serviceReports.reduce((a, p) => a + pick(p) * p.requests, 0) / requests;
       return {
         service: s.name,
         requests,
-        ok: parts.reduce((a, p) => a + p.ok, 0),
-        notRun: parts.reduce((a, p) => a + p.notRun, 0),
-        unknown: parts.reduce((a, p) => a + p.unknown, 0),
-        transport: parts.reduce((a, p) => a + p.transport, 0),
-        bytes: parts.reduce((a, p) => a + p.bytes, 0),
-        p50Ms: weighted((p) => p.p50Ms),
-        p99Ms: Math.max(...parts.map((p) => p.p99Ms)),
-        maxMs: Math.max(...parts.map((p) => p.maxMs)),
+        ok: serviceReports.reduce((a, p) => a + p.ok, 0),
+        notRun: serviceReports.reduce((a, p) => a + p.notRun, 0),
+        unknown: serviceReports.reduce((a, p) => a + p.unknown, 0),
+        transport: serviceReports.reduce((a, p) => a + p.transport, 0),
+        bytes: serviceReports.reduce((a, p) => a + p.bytes, 0),
+        p50Ms: weightedMean((p) => p.p50Ms),
+        p99Ms: Math.max(...serviceReports.map((p) => p.p99Ms)),
+        maxMs: Math.max(...serviceReports.map((p) => p.maxMs)),
       };
     });
     const requests = services.reduce((a, s) => a + s.requests, 0);
@@ -108,19 +110,19 @@
 
 const pad = (text: string | number, width: number) => String(text).padStart(width);
 
-/** Renders the report as the table `npm start` prints. */
-export const formatDemo = (report: DemoReport): string => {
+/** Formats the report as the table that `npm start` prints. */
+export const formatDemoReport = (report: DemoReport): string => {
   const lines = [
     `cardamomladder demo: ${report.layout} layout, ${report.load.requests} requests in ${(report.load.durationMs / 1000).toFixed(1)} s (${report.load.perSecond.toFixed(0)}/s)`,
     '',
-    'latency (caller to whole answer)',
+    'latency (request to complete response)',
     `${'service'.padEnd(12)}${pad('requests', 9)}${pad('ok', 8)}${pad('not-run', 9)}${pad('unknown', 9)}${pad('p50 ms', 9)}${pad('p99 ms', 9)}`,
     ...report.load.services.map(
       (s) =>
         `${s.service.padEnd(12)}${pad(s.requests, 9)}${pad(s.ok, 8)}${pad(s.notRun, 9)}${pad(s.unknown, 9)}${pad(s.p50Ms.toFixed(2), 9)}${pad(s.p99Ms.toFixed(2), 9)}`,
     ),
     '',
-    'headroom per region (spare share of slots, as one entry estimates it)',
+    'headroom per region (free share of slots, as estimated by one entry)',
     ...Object.entries(report.headroom).map(
       ([service, regions]) =>
         `${service.padEnd(12)}${Object.entries(regions)
@@ -130,7 +132,7 @@
     '',
     'drain time (planned drain of one target per service, under load)',
     ...report.drains.map((d) => `${d.target.padEnd(28)}${pad(d.drainMs, 6)} ms`),
-    `requests cut off by the drains: ${report.cutOff}`,
+    `requests interrupted by the drains: ${report.cutOff}`,
   ];
   return lines.join('\n');
 };
