--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -67,7 +67,7 @@
     ),
   );
   console.log(
-    `heap: ${memory.bytesPerTarget} bytes per target view, ${memory.bytesPerDedupKey} bytes per idempotency key (200-byte answer)`,
+    `heap: ${memory.bytesPerTarget} bytes per target view, ${memory.bytesPerDedupKey} bytes per idempotency key (200-byte response)`,
   );
   console.log('customer identification by API key and rate limit check, CPU per request');
   customers.forEach(({ keys, micros }) =>
--- a/packages/cli/src/__tests__/commandLine.test.ts
+++ b/packages/cli/src/__tests__/commandLine.test.ts
@@ -17,7 +17,7 @@
 
 const run = (...args: string[]) => {
   runCommandLine(commandLine(), ['node', 'cardamomladder', ...args]);
-  return { code: process.exitCode, said: errorLines };
+  return { code: process.exitCode, errorLines };
 };
 
 describe('the command line', () => {
@@ -27,21 +27,21 @@
     // itself does not reject a command that it cannot match.
     expect(run('chek', 'settings.json')).toEqual({
       code: 2,
-      said: ["unknown command 'chek'; did you mean 'check'? See --help"],
+      errorLines: ["unknown command 'chek'; did you mean 'check'? See --help"],
     });
   });
 
   it('rejects an unknown option and suggests the closest one', () => {
     expect(run('entry', '--setings', 'a.json')).toEqual({
       code: 2,
-      said: ["Unknown option `--setings`; did you mean '--settings'? See --help"],
+      errorLines: ["Unknown option `--setings`; did you mean '--settings'? See --help"],
     });
   });
 
   it('rejects a command with a missing argument', () => {
     expect(run('check')).toEqual({
       code: 2,
-      said: ['missing required args for command `check <file>`'],
+      errorLines: ['missing required args for command `check <file>`'],
     });
   });
 });
--- a/packages/cli/src/__tests__/drain.test.ts
+++ b/packages/cli/src/__tests__/drain.test.ts
@@ -49,8 +49,8 @@
     const busiest = upstreams.reduce((a, b) => (b.inflight() > a.inflight() ? b : a));
     expect(busiest.inflight()).toBeGreaterThan(0);
     const drainMs = await busiest.drain();
-    const answers = await Promise.all(downloads);
-    expect(answers.map((a) => [a.status, a.bytes])).toEqual([
+    const responses = await Promise.all(downloads);
+    expect(responses.map((a) => [a.status, a.bytes])).toEqual([
       [200, 2 * 1024 * 1024],
       [200, 2 * 1024 * 1024],
     ]);
@@ -67,13 +67,13 @@
     await sleep(200);
     const stopping = entry.stop();
     await sleep(50);
-    const refused = await sendRequest(entry.address, '/s/lookup/x').catch(() => ({
+    const rejected = await sendRequest(entry.address, '/s/lookup/x').catch(() => ({
       status: 0,
       outcome: 'closed',
     }));
-    const answer = await download;
+    const response = await download;
     await stopping;
-    expect([answer.status, answer.bytes]).toEqual([200, 2 * 1024 * 1024]);
-    expect(['not-run', 'closed']).toContain(refused.outcome);
+    expect([response.status, response.bytes]).toEqual([200, 2 * 1024 * 1024]);
+    expect(['not-run', 'closed']).toContain(rejected.outcome);
   });
 });
--- a/packages/cli/src/__tests__/explain.test.ts
+++ b/packages/cli/src/__tests__/explain.test.ts
@@ -24,9 +24,9 @@
 
   it('tells why a customer was rejected: over its limit, or with an invalid key', () => {
     const file = join(import.meta.dirname, '../__fixtures__/customerRefusals.log.txt');
-    const refusals = { name: 'refusals', text: readFileSync(file, 'utf8') };
-    expect(explainRequest('47f8261c14fa2aeb', [refusals])).toMatchSnapshot();
-    expect(explainRequest('1a76a20210d2bd2a', [refusals])).toMatchSnapshot();
+    const rejections = { name: 'rejections', text: readFileSync(file, 'utf8') };
+    expect(explainRequest('47f8261c14fa2aeb', [rejections])).toMatchSnapshot();
+    expect(explainRequest('1a76a20210d2bd2a', [rejections])).toMatchSnapshot();
   });
 
   it('tells why a request was held back: what its targets had reported', () => {
