--- a/packages/document/src/layouts.ts
+++ b/packages/document/src/layouts.ts
@@ -1,24 +1,24 @@
 /**
- * The two deployments of the brief ("Sizes of today"), as data: regions,
- * failure domains, services and their upstreams. The demo, the bench and the
- * tests build stand-ins and operators' documents from these.
+ * Two reference deployments at their current sizes: regions, failure domains,
+ * services and their targets. The demo, the benchmarks and the tests create
+ * simulated targets and operators' documents from them.
  */
 import type { DocumentInput } from './schema';
 
-/** A service as deployed: how many upstreams, how many slots each, how it behaves. */
+/** A deployed service: its number of targets, slots per target and typical behavior. */
 export interface ServiceLayout {
   name: string;
   idempotent: boolean;
   upstreams: number;
   slots: number;
-  /** Typical time a warm upstream needs for one request, in milliseconds. */
+  /** Typical processing time of one request on a warm target, in milliseconds. */
   serviceMs: number;
-  /** Size of one answer in bytes; inspection bundles and briefings are large. */
+  /** Size of a response body in bytes; inspection bundles and briefings are large. */
   answerBytes: number;
   deadlineMs: number;
 }
 
-/** A deployment: regions with their failure domains, and services. */
+/** A deployment: its regions with their failure domains, and its services. */
 export interface Layout {
   name: string;
   regions: { name: string; failureDomains: string[] }[];
@@ -107,10 +107,10 @@
   ],
 };
 
-/** Both layouts by name. */
+/** The built-in layouts by name. */
 export const layouts: Readonly<Record<string, Layout>> = { hraunvidd, waitaha };
 
-/** Failure domain of the n-th upstream: upstreams are spread round-robin. */
+/** Region and failure domain of the target at `index`; targets are assigned round-robin. */
 export const upstreamDomain = (
   layout: Layout,
   index: number,
@@ -121,7 +121,7 @@
   return domains[index % domains.length];
 };
 
-/** An operators' document for the layout with equal shares for every region. */
+/** Creates an operators' document for the layout, with equal shares for all regions. */
 export const layoutDocument = (layout: Layout, revision = 1): DocumentInput => ({
   revision,
   regions: layout.regions.map((r) => ({
--- a/packages/document/src/schema.ts
+++ b/packages/document/src/schema.ts
@@ -1,21 +1,21 @@
 /**
- * The operators' document: the whole of what the operators intend. The
- * console writes it to the platform KV; every entry validates it again on
- * read, since a document written by an older console or by hand may be bad.
+ * Schema of the operators' document, which holds the complete configuration.
+ * The console writes it to the platform KV; every entry validates it again on
+ * read, since a document written by hand or by an older console may be invalid.
  */
 import { z } from 'zod';
 
-const NAME = /^[a-z][a-z0-9-]{0,62}$/;
+const NAME_PATTERN = /^[a-z][a-z0-9-]{0,62}$/;
 
-const name = (what: string) =>
-  z.string({ error: `give the ${what} as a string` }).regex(NAME, {
-    error: `use lower-case letters, digits and '-', starting with a letter (at most 63), for the ${what}`,
+const nameSchema = (fieldLabel: string) =>
+  z.string({ error: `give the ${fieldLabel} as a string` }).regex(NAME_PATTERN, {
+    error: `use lower-case letters, digits and '-', starting with a letter (at most 63), for the ${fieldLabel}`,
   });
 
-const region = z.object({
-  name: name('region name'),
+const regionSchema = z.object({
+  name: nameSchema('region name'),
   failureDomains: z
-    .array(name('failure domain name'), { error: 'list the failure domains of this region' })
+    .array(nameSchema('failure domain name'), { error: 'list the failure domains of this region' })
     .min(1, { error: 'list at least one failure domain for this region' }),
   reserve: z
     .number({ error: 'give reserve as a number between 0 and 0.9' })
@@ -24,8 +24,8 @@
     .default(0.15),
 });
 
-const service = z.object({
-  name: name('service name'),
+const serviceSchema = z.object({
+  name: nameSchema('service name'),
   idempotent: z.boolean({
     error: 'say whether the service is idempotent (true: may run twice; false: at most once)',
   }),
@@ -52,9 +52,9 @@
     .max(600, { error: 'set warmupSeconds to 600 or less' })
     .default(20),
   /**
-   * A planned shift in progress, written by the console when shares change:
-   * the split it started from and when (ms since epoch). Entries place
-   * themselves on the schedule from these, so all agree where the shift is.
+   * The planned shift in progress, written by the console when shares change:
+   * the split it started from and its start time (ms since the epoch). All
+   * entries derive the current split from these values, so they agree on it.
    */
   shift: z
     .object({
@@ -63,7 +63,7 @@
     })
     .optional(),
   shares: z.record(
-    name('region name'),
+    nameSchema('region name'),
     z
       .number({ error: 'give each share as a number' })
       .min(0, { error: 'set each share to 0 or more' }),
@@ -71,15 +71,15 @@
   ),
 });
 
-/** The document schema; `parse` fills defaults. */
+/** Schema of the operators' document; parsing fills in the defaults. */
 export const documentSchema = z
   .object({
     revision: z
       .number({ error: 'give revision as a whole number; the console sets it' })
       .int({ error: 'give revision as a whole number' })
       .min(0, { error: 'set revision to 0 (a first document) or more' }),
-    regions: z.array(region).min(1, { error: 'list at least one region' }),
-    services: z.array(service).min(1, { error: 'list at least one service' }),
+    regions: z.array(regionSchema).min(1, { error: 'list at least one region' }),
+    services: z.array(serviceSchema).min(1, { error: 'list at least one service' }),
   })
   .superRefine((doc, ctx) => {
     const regions = new Set(doc.regions.map((r) => r.name));
@@ -96,18 +96,18 @@
         domains.add(fd);
       });
     });
-    const seen = new Set<string>();
+    const serviceNames = new Set<string>();
     doc.services.forEach((s, i) => {
-      if (seen.has(s.name)) {
+      if (serviceNames.has(s.name)) {
         ctx.addIssue({
           code: 'custom',
           path: ['services', i, 'name'],
           message: `service '${s.name}' is defined twice; merge the two entries`,
         });
       }
-      seen.add(s.name);
-      const named = Object.entries(s.shares);
-      named.forEach(([r]) => {
+      serviceNames.add(s.name);
+      const shareEntries = Object.entries(s.shares);
+      shareEntries.forEach(([r]) => {
         if (!regions.has(r)) {
           ctx.addIssue({
             code: 'custom',
@@ -116,7 +116,7 @@
           });
         }
       });
-      if (named.reduce((sum, [, v]) => sum + v, 0) <= 0) {
+      if (shareEntries.reduce((sum, [, v]) => sum + v, 0) <= 0) {
         ctx.addIssue({
           code: 'custom',
           path: ['services', i, 'shares'],
@@ -126,11 +126,11 @@
     });
   });
 
-/** The operators' document after validation, with defaults filled in. */
+/** A validated document, with defaults filled in. */
 export type Document = z.output<typeof documentSchema>;
-/** The document as an operator writes it; defaults may be left out. */
+/** A document as written by an operator; fields with a default are optional. */
 export type DocumentInput = z.input<typeof documentSchema>;
-/** One service of the document. */
+/** A service in a validated document. */
 export type ServiceSpec = Document['services'][number];
-/** One region of the document. */
+/** A region in a validated document. */
 export type RegionSpec = Document['regions'][number];
--- a/packages/document/src/validate.ts
+++ b/packages/document/src/validate.ts
@@ -1,6 +1,4 @@
-/**
- * Validation of the operators' document, from text or from a parsed value.
- */
+/** Validation of the operators' document, as JSON text or as a parsed value. */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
 import type { Failure } from '@cardamomladder/types';
@@ -8,7 +6,7 @@
 import type { Document } from './schema';
 import { documentSchema } from './schema';
 
-/** Validates a parsed value; the error lists every bad field with its remedy. */
+/** Validates a parsed value; the error lists every invalid field and how to correct it. */
 export const validateDocument = (value: unknown): Result<Document, Failure> => {
   const parsed = documentSchema.safeParse(value);
   if (parsed.success) return ok(parsed.data);
