--- a/packages/entry/src/daemon.ts
+++ b/packages/entry/src/daemon.ts
@@ -1,9 +1,10 @@
 /**
- * The entry daemon: one per entry instance, all on one event loop. It
- * registers itself for callers, follows the operators' document and the
- * member list, ticks the steering, and serves callers until a planned stop,
- * which is graceful: it leaves the callers' list first, refuses new work as
- * "not run" with `connection: close`, and waits for every request in flight.
+ * The entry daemon: one per entry instance, on a single event loop. It
+ * registers itself so that callers can find it, watches the operators'
+ * document, polls the member list, updates the steering periodically and
+ * serves callers. A planned stop is graceful: it removes the registration,
+ * rejects new requests as "not run" with `connection: close`, and waits up to
+ * `drainGraceMs` for the requests in flight.
  */
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
@@ -24,7 +25,7 @@
 
 const log = logger('entry');
 
-/** Prefix under which entries register for callers. */
+/** Key prefix under which entries register themselves. */
 export const ENTRIES_PREFIX = 'cardamomladder/entries/';
 
 /** A running entry daemon. */
@@ -33,19 +34,19 @@
   fleet: Fleet;
   metrics: EntryMetrics;
   server: Server;
-  /** Resolves with the first document in force. */
+  /** Resolves with the current document, once there is one. */
   ready: () => Promise<Document>;
-  /** Graceful stop; resolves with the time in ms it took to drain its own requests. */
+  /** Stops gracefully; resolves with the duration in ms. */
   stop: () => Promise<number>;
 }
 
-/** Options for tests and the demo: randomness, process metrics. */
+/** Options for tests and the demo: the random source and whether to collect process metrics. */
 export interface EntryOptions {
   random?: () => number;
   processMetrics?: boolean;
 }
 
-/** Starts an entry daemon with validated settings. */
+/** Starts an entry daemon; `settings` must have been validated. */
 export const startEntry = async (
   settings: EntrySettings,
   options: EntryOptions = {},
@@ -80,7 +81,7 @@
     waitMs: settings.platform.watchWaitMs,
     random,
   });
-  const configSub = config.state.subscribe((state) => {
+  const configSubscription = config.state.subscribe((state) => {
     if (state.document && state.document.revision > fleet.revision) {
       fleet.applyDocument(state.document);
       metrics.documentRevision.set(state.document.revision);
@@ -91,9 +92,9 @@
     waitMs: settings.platform.watchWaitMs,
   });
 
-  // Polls ask only for changes since the version held: the full list at
-  // letter-1 size is 265 KB a poll, 29 times the control budget of 9 KB/s
-  // (docs/CAPACITY.md), while changes come a few hundred times a day.
+  // Request the list only if it changed since the known version: the full list
+  // is 265 KB per poll at the fleet size in docs/CAPACITY.md, 29 times the
+  // control traffic budget of 9 KB/s, and changes only a few hundred times a day.
   let membersVersion: number | undefined;
   const pollMembers = () => {
     members.list(membersVersion).match(
@@ -142,16 +143,16 @@
 
   const ready = () =>
     new Promise<Document>((resolve) => {
-      const sub = config.state.subscribe((state) => {
+      const subscription = config.state.subscribe((state) => {
         if (state.document) {
           resolve(state.document);
-          queueMicrotask(() => sub.unsubscribe());
+          queueMicrotask(() => subscription.unsubscribe());
         }
       });
     });
 
   const stop = async () => {
-    const started = Date.now();
+    const startedAt = Date.now();
     stopping = true;
     await registry.deregister();
     server.close();
@@ -164,10 +165,10 @@
     server.closeAllConnections();
     clearInterval(membersTimer);
     clearInterval(tickTimer);
-    configSub.unsubscribe();
+    configSubscription.unsubscribe();
     config.stop();
     registry.stop();
-    const ms = Date.now() - started;
+    const ms = Date.now() - startedAt;
     log.info('entry stopped', { id: settings.id, drainMs: ms });
     return ms;
   };
--- a/packages/entry/src/server/admission.ts
+++ b/packages/entry/src/server/admission.ts
@@ -1,6 +1,6 @@
 /**
- * What is decided before a request is sent: whether its body fits, and
- * whether a request with its idempotency key has been seen before.
+ * Checks made before a request is forwarded: the size of its body, and whether
+ * its idempotency key has been used before.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Outcome } from '@cardamomladder/callers';
@@ -8,20 +8,20 @@
 import { readBody } from '@cardamomladder/http-json';
 import type { RequestKey } from '@cardamomladder/types';
 import { requestKey } from '@cardamomladder/types';
-import type { Dedup, DedupVerdict, StoredAnswer } from '../state/dedup';
-import { forwardHeaders } from './headers';
-import { refuse } from './refusal';
+import type { Dedup, DedupDecision, StoredResponse } from '../state/dedup';
+import { endToEndHeaders } from './headers';
+import { sendError } from './errorResponse';
 
-/** A request that may be sent, or how it was answered instead. */
+/** A request that may be forwarded, or the outcome of the response already sent. */
 export type Admission =
   | { kind: 'admitted'; body: Buffer; key: RequestKey | undefined }
   | { kind: 'answered'; outcome: Outcome };
 
-const KEY_RETRY_AFTER_MS = 1000;
+const DUPLICATE_RETRY_AFTER_MS = 1000;
 
-const replay = (res: ServerResponse, answer: StoredAnswer): Outcome => {
+const replayResponse = (res: ServerResponse, answer: StoredResponse): Outcome => {
   res.writeHead(answer.status, {
-    ...forwardHeaders(answer.headers),
+    ...endToEndHeaders(answer.headers),
     'content-length': answer.body.length,
     [OUTCOME_HEADER]: 'ok',
   });
@@ -29,39 +29,41 @@
   return 'ok';
 };
 
-const refuseDuplicate = (res: ServerResponse, message: string, retryAfterMs?: number): Outcome => {
-  refuse(res, 409, 'unknown', 'duplicate-request', message, retryAfterMs);
+const rejectDuplicate = (res: ServerResponse, message: string, retryAfterMs?: number): Outcome => {
+  sendError(res, 409, 'unknown', 'duplicate-request', message, retryAfterMs);
   return 'unknown';
 };
 
-/** Answers a repeat of a request that was seen before; undefined for a new one. */
-const answerRepeat = (res: ServerResponse, verdict: DedupVerdict): Outcome | undefined => {
-  switch (verdict.kind) {
+/** Responds to a duplicate request; returns undefined, without a response, for a new one. */
+const answerDuplicate = (res: ServerResponse, decision: DedupDecision): Outcome | undefined => {
+  switch (decision.kind) {
     case 'running':
-      return refuseDuplicate(
+      return rejectDuplicate(
         res,
         'a request with this idempotency-key is still running; wait for its answer',
-        KEY_RETRY_AFTER_MS,
+        DUPLICATE_RETRY_AFTER_MS,
       );
     case 'unknown':
-      return refuseDuplicate(
+      return rejectDuplicate(
         res,
         'a request with this idempotency-key may have run; check with the service before sending it again',
       );
     case 'replay':
-      return replay(res, verdict.answer);
+      return replayResponse(res, decision.answer);
     default:
       return undefined;
   }
 };
 
-/** The key under which a request must run once; undefined when it may be repeated or has none. */
-const keyOf = (req: IncomingMessage, idempotent: boolean): RequestKey | undefined => {
-  const raw = req.headers[IDEMPOTENCY_KEY_HEADER];
-  return !idempotent && typeof raw === 'string' && raw !== '' ? requestKey(raw) : undefined;
+/** The deduplication key; undefined if the service is idempotent or the caller sent none. */
+const dedupKeyOf = (req: IncomingMessage, idempotent: boolean): RequestKey | undefined => {
+  const headerValue = req.headers[IDEMPOTENCY_KEY_HEADER];
+  return !idempotent && typeof headerValue === 'string' && headerValue !== ''
+    ? requestKey(headerValue)
+    : undefined;
 };
 
-/** Reads the request and claims its key, or answers it. */
+/** Reads the request body and claims the idempotency key; responds itself if either fails. */
 export const admit = async (
   req: IncomingMessage,
   res: ServerResponse,
@@ -71,10 +73,10 @@
   const body = await readBody(req, MAX_REQUEST_BYTES);
   if (body === 'too-large') {
     const message = `request body is over ${MAX_REQUEST_BYTES} bytes; send a smaller body`;
-    refuse(res, 413, 'not-run', 'request-too-large', message);
+    sendError(res, 413, 'not-run', 'request-too-large', message);
     return { kind: 'answered', outcome: 'not-run' };
   }
-  const key = keyOf(req, idempotent);
-  const outcome = key && answerRepeat(res, dedup.claim(key));
+  const key = dedupKeyOf(req, idempotent);
+  const outcome = key && answerDuplicate(res, dedup.claim(key));
   return outcome ? { kind: 'answered', outcome } : { kind: 'admitted', body, key };
 };
--- a/packages/entry/src/server/attempt.ts
+++ b/packages/entry/src/server/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request at a target, with its span, its counts and what it teaches. */
+/** Sends one attempt of a request to a target and updates spans, metrics and target state. */
 import type { IncomingMessage } from 'node:http';
 import type { Span } from '@opentelemetry/api';
 import { SpanKind, SpanStatusCode, context, trace } from '@opentelemetry/api';
@@ -7,34 +7,34 @@
 import { REQUEST_KEY_HEADER, sendAttempt } from '@cardamomladder/targets';
 import { injectContext, tracer } from '@cardamomladder/telemetry';
 import type { RequestKey } from '@cardamomladder/types';
-import { poolFor } from './connectionPools';
+import { agentFor } from './connectionPools';
 import type { ForwardingContext } from './forwarding';
-import { forwardHeaders } from './headers';
+import { endToEndHeaders } from './headers';
 
-const spans = tracer('entry');
+const entryTracer = tracer('entry');
 
-/** A target that refused a connection is not chosen again for this long, ms. */
+/** How long a target is not eligible after a failed connection, in ms. */
 const AVOID_AFTER_CONNECT_FAILURE_MS = 2000;
-/** A target that took an attempt and did not answer is not chosen again for this long, ms. */
-const AVOID_AFTER_SILENCE_MS = 5000;
+/** How long a target is not eligible after an attempt without a response, in ms. */
+const AVOID_AFTER_NO_RESPONSE_MS = 5000;
 
-/** A request that is being forwarded. */
+/** A caller's request while it is being forwarded. */
 export interface ForwardedRequest {
   req: IncomingMessage;
   steering: ServiceSteering;
   path: string;
   body: Buffer;
   key: RequestKey | undefined;
-  /** Wall clock, ms. */
+  /** Wall-clock time, in ms since the epoch. */
   deadlineAt: number;
-  /** Aborted when the caller leaves. */
+  /** Aborted when the caller disconnects. */
   signal: AbortSignal;
-  /** The request's span. */
+  /** Parent of the attempts' spans. */
   span: Span;
 }
 
-/** Takes an attempt's lesson about its target. */
-const learn = (target: TargetView, result: AttemptResult, now: number): void => {
+/** Updates the target's load and eligibility from the result of an attempt. */
+const recordResult = (target: TargetView, result: AttemptResult, now: number): void => {
   const { load } = target;
   if ('load' in result && result.load !== undefined)
     load.report = { inflight: result.load, at: now };
@@ -46,14 +46,14 @@
     if (result.reason === 'shed') load.report = { inflight: target.slots, at: now };
     return;
   }
-  // No answer from a connected target: a silent connection or a hung target.
-  // Keeping it out of choices for a while stops every later request from
-  // spending half its deadline on the same silence.
-  Object.assign(target, { avoidUntil: now + AVOID_AFTER_SILENCE_MS });
+  // No response over an established connection: the connection was lost
+  // silently or the target hangs. Excluding the target for a while keeps later
+  // requests from spending half their deadline waiting for it.
+  Object.assign(target, { avoidUntil: now + AVOID_AFTER_NO_RESPONSE_MS });
 };
 
-/** Sends the request to `target`; `done` must be called once its answer is passed on. */
-export const attemptAt = async (
+/** Sends the request to `target`; call `done` after the response was relayed or discarded. */
+export const attemptRequest = async (
   request: ForwardedRequest,
   target: TargetView,
   attempt: number,
@@ -61,17 +61,17 @@
 ): Promise<{ result: AttemptResult; done: () => void }> => {
   const { req, steering, path, body, key, deadlineAt, signal } = request;
   const { name: service, idempotent, maxAttempts } = steering.settings;
-  const span = spans.startSpan(
+  const span = entryTracer.startSpan(
     'entry.attempt',
     { kind: SpanKind.CLIENT, attributes: { service, target: target.id, attempt } },
     trace.setSpan(context.active(), request.span),
   );
-  const headers = forwardHeaders(req.headers);
+  const headers = endToEndHeaders(req.headers);
   injectContext(span, headers);
   if (key) headers[REQUEST_KEY_HEADER] = key;
   const { load } = target;
-  load.local += 1;
-  const left = deadlineAt - Date.now();
+  load.localInflight += 1;
+  const remainingMs = deadlineAt - Date.now();
   const result = await sendAttempt({
     address: target.address,
     method: req.method ?? 'GET',
@@ -79,20 +79,20 @@
     headers,
     body,
     deadlineAt,
-    // An idempotent request keeps time for a second try; a silent pooled
-    // connection then costs half the deadline, not all of it.
-    attemptTimeoutMs: idempotent && attempt < maxAttempts ? left / 2 : left,
+    // Reserve time for a retry of an idempotent request, so that a pooled
+    // connection that was lost silently costs half the deadline, not all of it.
+    attemptTimeoutMs: idempotent && attempt < maxAttempts ? remainingMs / 2 : remainingMs,
     connectTimeoutMs: ctx.connectTimeoutMs,
-    agent: idempotent ? poolFor(target.address) : false,
+    agent: idempotent ? agentFor(target.address) : false,
     signal,
   });
   ctx.metrics.attempts.inc({ service, result: result.kind });
   span.setAttribute('result', result.kind);
-  learn(target, result, Date.now());
+  recordResult(target, result, Date.now());
   if (result.kind !== 'answer')
     span.setStatus({ code: SpanStatusCode.ERROR, message: result.reason });
   const done = () => {
-    load.local -= 1;
+    load.localInflight -= 1;
     span.end();
   };
   return { result, done };
--- a/packages/entry/src/server/connectionPools.ts
+++ b/packages/entry/src/server/connectionPools.ts
@@ -1,24 +1,27 @@
-/** Kept connections, a pool per target address. */
+/** Keep-alive connection pools, one per target address. */
 import { Agent } from 'node:http';
 
-/** Pools kept: more than the targets of any service today; addresses of targets that left are dropped first. */
-const POOLS_MOST = 512;
+/**
+ * More than the targets of any current service. The least recently used pool is
+ * evicted first, which is usually that of a removed target.
+ */
+const MAX_POOLS = 512;
 const SOCKETS_PER_TARGET = 64;
 
-const pools = new Map<string, Agent>();
+const agents = new Map<string, Agent>();
 
-/** The pool of an address. */
-export const poolFor = (address: string): Agent => {
-  const known = pools.get(address);
-  // Put last, so that the first is the one unused for longest.
-  pools.delete(address);
+/** Returns the connection pool of an address, creating it if needed. */
+export const agentFor = (address: string): Agent => {
+  const existing = agents.get(address);
+  // Insert at the end, so that the first entry is the least recently used one.
+  agents.delete(address);
   const agent =
-    known ?? new Agent({ keepAlive: true, maxSockets: SOCKETS_PER_TARGET, scheduling: 'lifo' });
-  pools.set(address, agent);
-  if (pools.size > POOLS_MOST) {
-    const [oldest, unused] = [...pools][0];
-    pools.delete(oldest);
-    unused.destroy();
+    existing ?? new Agent({ keepAlive: true, maxSockets: SOCKETS_PER_TARGET, scheduling: 'lifo' });
+  agents.set(address, agent);
+  if (agents.size > MAX_POOLS) {
+    const [lruAddress, lruAgent] = [...agents][0];
+    agents.delete(lruAddress);
+    lruAgent.destroy();
   }
   return agent;
 };
--- a/packages/entry/src/server/forwarding.ts
+++ b/packages/entry/src/server/forwarding.ts
@@ -1,18 +1,17 @@
 /**
- * Serving one caller request: choose a target, send, retry what may be
- * retried, and give the caller one final answer at once. The rules that keep
- * the brief's promises:
+ * Forwards one caller request: selects a target, sends the request, retries it
+ * where that is safe, and returns one final response to the caller:
  *
- * - A non-idempotent request (booking, arrival) is sent again only when the
- *   first attempt surely did not run (no connection, or the target said
- *   `x-not-run`). Anything else ends in `x-outcome: unknown`, never a retry.
- * - Non-idempotent requests go on a fresh connection. A pooled connection can
- *   have gone silent (the brief: "something between the two ends has lost
- *   track of them"); a request written into it is lost with no way to know
- *   whether it ran. A new connection that completes its handshake is a
- *   working path, at about 1 ms of cost.
- * - "not run" is said only when no attempt may have run.
- * - A request given up is answered at once, with `retry-after`.
+ * - A non-idempotent request (booking, arrival) is retried only if the previous
+ *   attempt provably did not run (no connection, or the target responded with
+ *   `x-not-run`). Any other failure ends in `x-outcome: unknown` without a retry.
+ * - Non-idempotent requests use a new connection. A middlebox may have dropped
+ *   the state of a pooled connection; a request written to it is lost, and the
+ *   entry cannot tell whether it ran. A completed handshake proves that the path
+ *   works, at a cost of about 1 ms.
+ * - The outcome is "not-run" only if no attempt may have run.
+ * - A request that is given up gets its response at once. It carries
+ *   `retry-after` if the request may be sent again.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Span } from '@opentelemetry/api';
@@ -25,11 +24,11 @@
 import type { RetryBudget } from '../state/retryBudget';
 import { admit } from './admission';
 import type { ForwardedRequest } from './attempt';
-import { attemptAt } from './attempt';
-import { notRunMessage, refuse } from './refusal';
-import { relayAnswer } from './relayAnswer';
+import { attemptRequest } from './attempt';
+import { notRunMessages, sendError } from './errorResponse';
+import { relayResponse } from './relayResponse';
 
-/** What forwarding needs from the daemon. */
+/** Dependencies provided by the daemon. */
 export interface ForwardingContext {
   metrics: EntryMetrics;
   dedup: Dedup;
@@ -38,43 +37,43 @@
   connectTimeoutMs: number;
 }
 
-/** Time an attempt needs at least to be worth making, ms. */
+/** No attempt is made with less time than this before the deadline, in ms. */
 const MIN_ATTEMPT_MS = 5;
-/** Told to a caller when nobody said when to come back, ms. */
-const RETRY_AFTER_MS = 1000;
+/** Used for `retry-after` if neither the target nor the steering gave a delay, in ms. */
+const DEFAULT_RETRY_AFTER_MS = 1000;
 
-/** How the attempts of a request ended. */
-type Attempts =
+/** Combined result of all attempts of a request. */
+type AttemptsOutcome =
   | { kind: 'answered' }
   | { kind: 'maybe-ran' }
   | { kind: 'not-run'; reason: NotRunReason; retryAfterMs: number | undefined };
 
-/** Sends to one target after another while that is allowed and worth it. */
-const sendUntilAnswered = async (
+/** Tries targets until one responds or no further attempt is allowed. */
+const sendWithRetries = async (
   request: ForwardedRequest,
   res: ServerResponse,
   ctx: ForwardingContext,
-): Promise<Attempts> => {
+): Promise<AttemptsOutcome> => {
   const { steering, deadlineAt, signal, key } = request;
   const { name: service, idempotent, maxAttempts } = steering.settings;
-  const tried = new Set<TargetId>();
+  const triedTargets = new Set<TargetId>();
   let maybeRan = false;
   let reason: NotRunReason = 'no-target';
   let retryAfterMs: number | undefined;
   for (let attempt = 1; attempt <= maxAttempts; attempt += 1) {
     if (deadlineAt - Date.now() < MIN_ATTEMPT_MS || signal.aborted) break;
-    if (attempt > 1 && !ctx.budget.spend()) break;
-    const choice = steering.choose(Date.now(), ctx.random, tried);
+    if (attempt > 1 && !ctx.budget.tryWithdraw()) break;
+    const choice = steering.choose(Date.now(), ctx.random, triedTargets);
     if (choice.kind === 'refused') {
       ({ reason, retryAfterMs } = choice);
       break;
     }
     const { target } = choice;
-    tried.add(target.id);
+    triedTargets.add(target.id);
     if (attempt > 1) ctx.metrics.retries.inc({ service });
-    const { result, done } = await attemptAt(request, target, attempt, ctx);
+    const { result, done } = await attemptRequest(request, target, attempt, ctx);
     if (result.kind === 'answer') {
-      await relayAnswer(res, result, target, attempt, key, ctx.dedup);
+      await relayResponse(res, result, target, attempt, key, ctx.dedup);
       done();
       request.span.setAttribute('target', target.id);
       return { kind: 'answered' };
@@ -91,8 +90,8 @@
   return maybeRan ? { kind: 'maybe-ran' } : { kind: 'not-run', reason, retryAfterMs };
 };
 
-/** The final answer when a target may have run the request. */
-const refuseUnknown = (
+/** Sends the final response for a request that a target may have run. */
+const sendUnknownOutcome = (
   { steering, key }: ForwardedRequest,
   res: ServerResponse,
   ctx: ForwardingContext,
@@ -103,28 +102,35 @@
   const message = idempotent
     ? 'no target answered in time; the request may be sent again'
     : 'the target may have run this request but did not answer; check with the service before sending it again';
-  refuse(res, 504, 'unknown', 'outcome-unknown', message, idempotent ? RETRY_AFTER_MS : undefined);
+  sendError(
+    res,
+    504,
+    'unknown',
+    'outcome-unknown',
+    message,
+    idempotent ? DEFAULT_RETRY_AFTER_MS : undefined,
+  );
   return 'unknown';
 };
 
-/** The final answer when no target ran the request. */
-const refuseNotRun = (
+/** Sends the final response for a request that no target ran. */
+const sendNotRun = (
   { steering, key, deadlineAt }: ForwardedRequest,
   res: ServerResponse,
-  { reason, retryAfterMs = RETRY_AFTER_MS }: Extract<Attempts, { kind: 'not-run' }>,
+  { reason, retryAfterMs = DEFAULT_RETRY_AFTER_MS }: Extract<AttemptsOutcome, { kind: 'not-run' }>,
   ctx: ForwardingContext,
 ): Outcome => {
   if (key) ctx.dedup.release(key);
   ctx.metrics.notRun.inc({ service: steering.settings.name, reason });
-  const message = `not run: ${notRunMessage[reason]}; send it again after the retry-after time`;
+  const message = `not run: ${notRunMessages[reason]}; send it again after the retry-after time`;
   if (deadlineAt - Date.now() < MIN_ATTEMPT_MS)
-    refuse(res, 504, 'not-run', 'deadline-exceeded', message, retryAfterMs);
-  else refuse(res, 503, 'not-run', 'not-run', message, retryAfterMs);
+    sendError(res, 504, 'not-run', 'deadline-exceeded', message, retryAfterMs);
+  else sendError(res, 503, 'not-run', 'not-run', message, retryAfterMs);
   return 'not-run';
 };
 
-/** Serves one caller request for `steering`'s service. */
-export const forward = async (
+/** Forwards a caller request to the service of `steering` and returns the outcome. */
+export const forwardRequest = async (
   req: IncomingMessage,
   res: ServerResponse,
   steering: ServiceSteering,
@@ -137,14 +143,23 @@
   const admission = await admit(req, res, idempotent, ctx.dedup);
   if (admission.kind === 'answered') return admission.outcome;
   const { body, key } = admission;
-  const cancel = new AbortController();
+  const abortController = new AbortController();
   res.on('close', () => {
-    if (!res.writableFinished) cancel.abort();
+    if (!res.writableFinished) abortController.abort();
   });
-  ctx.budget.earn();
-  const request = { req, steering, path, body, key, deadlineAt, signal: cancel.signal, span };
-  const attempts = await sendUntilAnswered(request, res, ctx);
+  ctx.budget.deposit();
+  const request = {
+    req,
+    steering,
+    path,
+    body,
+    key,
+    deadlineAt,
+    signal: abortController.signal,
+    span,
+  };
+  const attempts = await sendWithRetries(request, res, ctx);
   if (attempts.kind === 'answered') return 'ok';
-  if (attempts.kind === 'maybe-ran') return refuseUnknown(request, res, ctx);
-  return refuseNotRun(request, res, attempts, ctx);
+  if (attempts.kind === 'maybe-ran') return sendUnknownOutcome(request, res, ctx);
+  return sendNotRun(request, res, attempts, ctx);
 };
--- a/packages/entry/src/server/headers.ts
+++ b/packages/entry/src/server/headers.ts
@@ -1,7 +1,7 @@
-/** Which of a message's headers go on with it. */
+/** Selection of the headers to forward. */
 import type { IncomingMessage, OutgoingHttpHeaders } from 'node:http';
 
-/** Hop-by-hop headers are the connection's, not the request's (RFC 9110 7.6.1). */
+/** Headers that apply to a single connection (RFC 9110 7.6.1) or are set again when forwarding. */
 const HOP_BY_HOP = new Set([
   'connection',
   'keep-alive',
@@ -13,6 +13,6 @@
   'trailer',
   'proxy-connection',
 ]);
-/** The headers that belong to the message, not to one connection. */
-export const forwardHeaders = (headers: IncomingMessage['headers']): OutgoingHttpHeaders =>
+/** The headers to forward with the message. */
+export const endToEndHeaders = (headers: IncomingMessage['headers']): OutgoingHttpHeaders =>
   Object.fromEntries(Object.entries(headers).filter(([name]) => !HOP_BY_HOP.has(name)));
--- a/packages/entry/src/server/relayAnswer.ts
+++ b/packages/entry/src/server/relayResponse.ts
@@ -1,14 +1,17 @@
-/** Passing a target's answer on to the caller. */
+/** Relays a target's response to the caller. */
 import type { ServerResponse } from 'node:http';
 import { ATTEMPTS_HEADER, OUTCOME_HEADER, SERVED_BY_HEADER } from '@cardamomladder/callers';
 import type { TargetView } from '@cardamomladder/steering';
 import type { AttemptResult } from '@cardamomladder/targets';
 import type { RequestKey } from '@cardamomladder/types';
 import type { Dedup } from '../state/dedup';
-import { forwardHeaders } from './headers';
+import { endToEndHeaders } from './headers';
 
-/** Sends the target's answer to the caller, whole or visibly cut, and records it for replays. */
-export const relayAnswer = (
+/**
+ * Streams the target's response to the caller and stores it for replay. If the
+ * target fails partway, the caller's connection is closed.
+ */
+export const relayResponse = (
   res: ServerResponse,
   result: Extract<AttemptResult, { kind: 'answer' }>,
   target: TargetView,
@@ -18,7 +21,7 @@
 ): Promise<void> =>
   new Promise((resolve) => {
     const headers = {
-      ...forwardHeaders(result.headers),
+      ...endToEndHeaders(result.headers),
       ...(result.headers['content-length']
         ? { 'content-length': result.headers['content-length'] }
         : {}),
@@ -27,9 +30,9 @@
       [ATTEMPTS_HEADER]: String(attempts),
     };
     res.writeHead(result.status, headers);
-    const kept: Buffer[] = [];
+    const chunks: Buffer[] = [];
     result.body.on('data', (chunk: Buffer) => {
-      if (key) kept.push(chunk);
+      if (key) chunks.push(chunk);
       if (!res.write(chunk)) {
         result.body.pause();
         res.once('drain', () => result.body.resume());
@@ -40,14 +43,14 @@
         dedup.finish(key, {
           status: result.status,
           headers: result.headers,
-          body: Buffer.concat(kept),
+          body: Buffer.concat(chunks),
         });
       res.end();
       resolve();
     });
-    // The target went away mid-answer. Ending the caller's answer normally
-    // would hand it a cut body that looks whole; destroying the connection
-    // makes the cut visible (the length does not match).
+    // The target's connection failed during the response. Ending the response
+    // normally would make a truncated body look complete; destroying the
+    // connection lets the caller detect it (the length does not match).
     result.body.on('error', () => {
       if (key) dedup.markUnknown(key);
       res.destroy();
--- a/packages/entry/src/server/routes.ts
+++ b/packages/entry/src/server/routes.ts
@@ -1,6 +1,6 @@
 /**
- * The entry's http routes: the callers' entry list, service requests,
- * metrics and health. Unknown paths and services get typed refusals.
+ * HTTP routes of the entry: the entry list for callers, service requests,
+ * metrics and health. Unknown paths and services get JSON error responses.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { SpanKind, context, trace } from '@opentelemetry/api';
@@ -10,26 +10,26 @@
 import { serviceName } from '@cardamomladder/types';
 import type { Fleet } from '../state/fleet';
 import type { ForwardingContext } from './forwarding';
-import { forward } from './forwarding';
-import { refuse } from './refusal';
+import { forwardRequest } from './forwarding';
+import { sendError } from './errorResponse';
 
-const spans = tracer('entry');
+const entryTracer = tracer('entry');
 
 /** How long callers may cache the entry list, in ms. */
 const ENTRIES_TTL_MS = 10_000;
 
-/** What the routes need from the daemon. */
+/** Dependencies provided by the daemon. */
 export type RouteContext = ForwardingContext & {
   fleet: Fleet;
   metrics: EntryMetrics;
   self: EntryAddress;
   entries: () => EntryAddress[];
-  /** True once a planned stop began: new requests are refused as not run. */
+  /** True once a planned stop has begun; new requests are then rejected as not run. */
   stopping: () => boolean;
   onRequest: (done: Promise<unknown>) => void;
 };
 
-/** Orders entries for a caller: its failure domain, then its region, then the rest. */
+/** Sorts entries by proximity to a caller: same failure domain, same region, then the others. */
 export const orderEntries = (
   all: EntryAddress[],
   failureDomain: string | null,
@@ -63,7 +63,7 @@
         res.writeHead(200, { 'content-type': ctx.metrics.registry.contentType });
         res.end(text);
       })
-      .catch(() => refuse(res, 500, 'not-run', 'metrics', 'metrics could not be rendered'));
+      .catch(() => sendError(res, 500, 'not-run', 'metrics', 'metrics could not be rendered'));
     return;
   }
   if (url.pathname === '/healthz') {
@@ -74,7 +74,7 @@
   }
   const match = /^\/s\/([^/?]+)(\/.*)?$/.exec(url.pathname);
   if (!match) {
-    refuse(
+    sendError(
       res,
       404,
       'not-run',
@@ -85,7 +85,7 @@
   }
   if (ctx.stopping()) {
     res.setHeader('connection', 'close');
-    refuse(
+    sendError(
       res,
       503,
       'not-run',
@@ -97,44 +97,44 @@
   }
   const steering = ctx.fleet.services.get(serviceName(match[1]));
   if (!steering) {
-    const why =
+    const cause =
       ctx.fleet.revision === 0
-        ? 'no configuration is in force yet'
+        ? 'no configuration has been loaded yet'
         : `service '${match[1]}' is not in the operators' document`;
-    refuse(
+    sendError(
       res,
       404,
       'not-run',
       'service-unknown',
-      `${why}; check the service name or apply a document that defines it`,
+      `${cause}; check the service name or apply a document that defines it`,
       ctx.fleet.revision === 0 ? 1000 : undefined,
     );
     return;
   }
-  const started = performance.now();
-  const span = spans.startSpan(
+  const startedAt = performance.now();
+  const span = entryTracer.startSpan(
     'entry.request',
     { kind: SpanKind.SERVER, attributes: { service: match[1] } },
     extractContext(req.headers),
   );
   const done = context
     .with(trace.setSpan(context.active(), span), () =>
-      forward(req, res, steering, `${match[2] ?? '/'}${url.search}`, ctx, span),
+      forwardRequest(req, res, steering, `${match[2] ?? '/'}${url.search}`, ctx, span),
     )
     .then((outcome) => {
       ctx.metrics.requestSeconds.observe(
         { service: match[1], outcome },
-        (performance.now() - started) / 1000,
+        (performance.now() - startedAt) / 1000,
       );
       span.setAttribute('outcome', outcome);
     })
     .catch((error: Error) => {
-      refuse(
+      sendError(
         res,
         500,
         'unknown',
         'internal',
-        `entry failed: ${error.message}; report this with the log line`,
+        `internal error in the entry: ${error.message}; report this to the operators`,
       );
     })
     .finally(() => span.end());
--- a/packages/entry/src/state/__tests__/config.test.ts
+++ b/packages/entry/src/state/__tests__/config.test.ts
@@ -12,12 +12,11 @@
 
 describe('followConfig', () => {
   it('keeps the newer document when an older one arrives later', async () => {
-    // Symptom: entries fall back to an old configuration. Sequence: the
-    // entry reads revision 5; a delayed watch answer (or a replayed event
-    // after a reconnect) then delivers revision 3. Cause it guards against:
-    // taking the latest message rather than the highest revision.
+    // After revision 5 was read, a delayed watch response (or an event replayed
+    // after a reconnect) delivers revision 3. Applying the latest message instead
+    // of the highest revision would revert the configuration.
     const replies = [item(3, 12)];
-    const fake = {
+    const kv = {
       list: () => okAsync({ items: [item(5, 20)], revision: 20 }),
       watchOnce: () =>
         okAsync(
@@ -26,7 +25,7 @@
             : { events: [], revision: 21 },
         ),
     } as unknown as KvClient;
-    const follower = followConfig(fake, 'doc', { waitMs: 10 });
+    const follower = followConfig(kv, 'doc', { waitMs: 10 });
     await new Promise((resolve) => {
       setTimeout(resolve, 50);
     });
--- a/packages/entry/src/state/config.ts
+++ b/packages/entry/src/state/config.ts
@@ -1,9 +1,9 @@
 /**
- * Follows the operators' document in the platform KV. A document is put in
- * force only if it validates and its revision is higher than the one in
- * force, so a late watch answer, a replayed event or a stale writer can never
- * turn the configuration back. While the store is down the last good
- * document stays in force; the entry keeps serving.
+ * Watches the operators' document in the platform KV. A document is applied
+ * only if it is valid and its revision is higher than the current one, so a
+ * delayed watch response, a replayed event or a stale writer cannot revert the
+ * configuration. While the store is unreachable, the last valid document stays
+ * in effect and the entry keeps serving.
  */
 import { BehaviorSubject } from 'rxjs';
 import type { Subscription } from 'rxjs';
@@ -15,14 +15,14 @@
 
 const log = logger('entry:config');
 
-/** The document in force (undefined before the first) and the store's reachability. */
+/** The current document (undefined until one is loaded) and the state of the store. */
 export interface ConfigState {
   document?: Document;
   storeUp: boolean;
   rejected: number;
 }
 
-/** Follows `key`; `state` emits on every change of document or store state. */
+/** Watches `key`; `state` emits after every watch update. */
 export const followConfig = (
   kv: KvClient,
   key: string,
--- a/packages/entry/src/state/dedup.ts
+++ b/packages/entry/src/state/dedup.ts
@@ -1,78 +1,79 @@
 /**
- * Remembers non-idempotent requests by the caller's idempotency key, so that
- * a caller that sends the same booking or arrival again (its reply was lost,
- * its app retried) does not make the target run it twice. A repeat of a
- * request still in flight is refused; a repeat of a finished one gets the
- * stored answer. The memory is this entry's alone: a repeat sent to another
- * entry is not caught here (docs/PROOFS.md lists this).
+ * Deduplicates non-idempotent requests by idempotency key, so that a booking or
+ * arrival that a caller sends again (its response was lost or its app retried)
+ * does not run twice. A duplicate of a request in flight is rejected; a
+ * duplicate of a completed one gets the stored response. Keys are stored per
+ * entry: a duplicate sent to another entry is not detected (see docs/PROOFS.md).
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { RequestKey } from '@cardamomladder/types';
 
-/** A finished answer, kept to replay to a repeat. */
-export interface StoredAnswer {
+/** A complete response, stored for duplicates of its request. */
+export interface StoredResponse {
   status: number;
   headers: IncomingHttpHeaders;
   body: Buffer;
 }
 
-type Slot = { state: 'running' } | { state: 'done'; answer: StoredAnswer } | { state: 'unknown' };
+type KeyState =
+  { state: 'running' } | { state: 'done'; answer: StoredResponse } | { state: 'unknown' };
 
-/** How long and how many keys are kept. */
+/** Retention time and maximum number of keys. */
 export interface DedupLimits {
   ttlMs: number;
   maxKeys: number;
 }
 
-/** Default limits: a day's bookings at an entry fit easily. */
-export const DEFAULT_DEDUP: DedupLimits = { ttlMs: 10 * 60_000, maxKeys: 100_000 };
+/** The default `maxKeys` is well above the bookings of an entry in a whole day. */
+export const DEFAULT_DEDUP_LIMITS: DedupLimits = { ttlMs: 10 * 60_000, maxKeys: 100_000 };
 
-/** What to do with a request carrying a key. */
-export type DedupVerdict =
+/** How to handle a request with a key. */
+export type DedupDecision =
   | { kind: 'new' }
   | { kind: 'running' }
-  | { kind: 'replay'; answer: StoredAnswer }
+  | { kind: 'replay'; answer: StoredResponse }
   | { kind: 'unknown' };
 
-/** The idempotency-key memory of one entry. */
+/** Idempotency keys of one entry, with the state of their requests. */
 export class Dedup {
-  private readonly slots = new Map<RequestKey, { slot: Slot; at: number }>();
+  private readonly slots = new Map<RequestKey, { keyState: KeyState; at: number }>();
 
   constructor(
-    private readonly limits: DedupLimits = DEFAULT_DEDUP,
+    private readonly limits: DedupLimits = DEFAULT_DEDUP_LIMITS,
     private readonly now: () => number = Date.now,
   ) {}
 
-  /** Claims `key` for a new request, or says why not. */
-  claim(key: RequestKey): DedupVerdict {
-    this.expire();
-    const held = this.slots.get(key);
-    if (held?.slot.state === 'running') return { kind: 'running' };
-    if (held?.slot.state === 'done') return { kind: 'replay', answer: held.slot.answer };
-    if (held?.slot.state === 'unknown') return { kind: 'unknown' };
-    this.slots.set(key, { slot: { state: 'running' }, at: this.now() });
+  /** Claims `key` for a new request, or returns the state of the earlier request with it. */
+  claim(key: RequestKey): DedupDecision {
+    this.evict();
+    const stored = this.slots.get(key);
+    if (stored?.keyState.state === 'running') return { kind: 'running' };
+    if (stored?.keyState.state === 'done')
+      return { kind: 'replay', answer: stored.keyState.answer };
+    if (stored?.keyState.state === 'unknown') return { kind: 'unknown' };
+    this.slots.set(key, { keyState: { state: 'running' }, at: this.now() });
     return { kind: 'new' };
   }
 
-  /** The request surely did not run: the key is free again. */
+  /** Releases the key of a request that did not run. */
   release(key: RequestKey): void {
     this.slots.delete(key);
   }
 
-  /** The request ran and answered. */
-  finish(key: RequestKey, answer: StoredAnswer): void {
-    this.slots.set(key, { slot: { state: 'done', answer }, at: this.now() });
+  /** Stores the response of a completed request. */
+  finish(key: RequestKey, answer: StoredResponse): void {
+    this.slots.set(key, { keyState: { state: 'done', answer }, at: this.now() });
   }
 
-  /** The request may have run; repeats are refused as "unknown" until the key expires. */
+  /** Marks a request that may have run; duplicates are rejected as "unknown" until the key expires. */
   markUnknown(key: RequestKey): void {
-    this.slots.set(key, { slot: { state: 'unknown' }, at: this.now() });
+    this.slots.set(key, { keyState: { state: 'unknown' }, at: this.now() });
   }
 
-  private expire(): void {
+  private evict(): void {
     const oldest = this.now() - this.limits.ttlMs;
-    for (const [key, held] of this.slots) {
-      if (held.at >= oldest && this.slots.size <= this.limits.maxKeys) break;
+    for (const [key, stored] of this.slots) {
+      if (stored.at >= oldest && this.slots.size <= this.limits.maxKeys) break;
       this.slots.delete(key);
     }
   }
--- a/packages/entry/src/state/fleet.ts
+++ b/packages/entry/src/state/fleet.ts
@@ -1,20 +1,20 @@
 /**
  * The entry's view of the fleet: one `ServiceSteering` per service of the
- * document in force, each holding the targets the member list names for it.
- * The member list lags, so a target that tells us it is leaving (503
- * `x-not-run: draining`) is marked leaving at once, before the list says so.
+ * current document, each with the service's targets from the member list. The
+ * member list is delayed, so a target that responds that it is shutting down
+ * (503 `x-not-run: draining`) is marked as leaving before the list shows it.
  */
 import type { Document } from '@cardamomladder/document';
 import type { Member } from '@cardamomladder/member-list';
-import type { Reserves } from '@cardamomladder/steering';
+import type { RegionReserves } from '@cardamomladder/steering';
 import { ServiceSteering } from '@cardamomladder/steering';
 import type { RegionName, ServiceName } from '@cardamomladder/types';
 import { failureDomainName, regionName, serviceName, targetId } from '@cardamomladder/types';
 
-const reservesOf = (document: Document): Reserves =>
+const reservesOf = (document: Document): RegionReserves =>
   new Map(document.regions.map((r) => [regionName(r.name), r.reserve]));
 
-/** All services' steering at one entry. */
+/** Steering of all services at one entry. */
 export class Fleet {
   readonly services = new Map<ServiceName, ServiceSteering>();
 
@@ -22,12 +22,12 @@
 
   private documentRevision = 0;
 
-  /** Revision of the document the fleet view was built from (0: none yet). */
+  /** Revision of the last applied document; 0 before the first. */
   get revision(): number {
     return this.documentRevision;
   }
 
-  /** Puts a document in force: adds, updates and removes services. */
+  /** Applies a document: adds, updates and removes services. */
   applyDocument(document: Document): void {
     const reserves = reservesOf(document);
     const names = new Set(document.services.map((s) => serviceName(s.name)));
@@ -42,10 +42,10 @@
   }
 
   /**
-   * Takes a new member list. New targets start their warm-up now; targets
-   * gone from the list are dropped (their in-flight work still finishes);
-   * `leaving` is sticky until the target leaves the list, since a lagging
-   * list may still call live a target that told us it is leaving.
+   * Applies a member list. New targets start their warm-up at `now`; targets
+   * that are no longer listed are removed (their requests in flight still
+   * complete). `leaving` stays set until the target is removed, since a delayed
+   * list may still show a target as live after it reported that it is leaving.
    */
   applyMembers(members: Member[], now: number): void {
     this.members = members;
@@ -57,12 +57,12 @@
         .filter((id) => !listed.has(id))
         .forEach((id) => steering.targets.delete(id));
       listed.forEach((member, id) => {
-        const known = steering.targets.get(id);
-        if (known) {
-          known.leaving = known.leaving || member.state === 'leaving';
-          known.slots = member.slots;
-          known.load.slots = member.slots;
-          known.address = member.address;
+        const existingTarget = steering.targets.get(id);
+        if (existingTarget) {
+          existingTarget.leaving = existingTarget.leaving || member.state === 'leaving';
+          existingTarget.slots = member.slots;
+          existingTarget.load.slots = member.slots;
+          existingTarget.address = member.address;
           return;
         }
         steering.targets.set(id, {
@@ -74,7 +74,7 @@
           leaving: member.state === 'leaving',
           firstSeen: now,
           avoidUntil: 0,
-          load: { slots: member.slots, local: 0 },
+          load: { slots: member.slots, localInflight: 0 },
         });
       });
     });
@@ -85,7 +85,7 @@
     this.services.forEach((s) => s.tick(now));
   }
 
-  /** Headroom per region for every service, for metrics and the demo's report. */
+  /** Headroom per region of every service. */
   headroom(now: number): Map<ServiceName, Map<RegionName, number>> {
     return new Map([...this.services].map(([name, s]) => [name, s.headroomByRegion(now)]));
   }
--- a/packages/entry/src/state/registry.ts
+++ b/packages/entry/src/state/registry.ts
@@ -1,11 +1,10 @@
 /**
- * Entry registration. Callers have no balancer: they ask an entry which
- * entries to use. Each entry writes its address under
- * `<prefix><failureDomain>/<id>` with a lease and keeps the lease alive; an
- * entry that dies stops renewing, its key lapses, and callers stop being
- * sent to it within one lease time. The list of all entries is followed by a
- * watch; while the store is unreachable the last list is served, so a
- * partitioned failure domain keeps answering callers.
+ * Entry registration and discovery. There is no load balancer in front of the
+ * entries; callers ask any entry for the list. Each entry writes its address to
+ * `<prefix><failureDomain>/<id>` with a lease that it renews. If an entry fails,
+ * its lease expires and it is no longer listed after at most one lease TTL. Each
+ * entry watches the list; while the store is unreachable it serves the last
+ * known one, so that a partitioned failure domain keeps serving callers.
  */
 import type { EntryAddress } from '@cardamomladder/callers';
 import type { KvClient } from '@cardamomladder/platform-kv';
@@ -14,22 +13,22 @@
 
 const log = logger('entry:registry');
 
-/** Registration of this entry and the list of all entries. */
+/** This entry's registration and the list of all entries. */
 export interface Registry {
   entries: () => EntryAddress[];
-  /** Removes this entry's key, so callers stop being sent here; used before a planned stop. */
+  /** Removes this entry from the list before a planned stop. */
   deregister: () => Promise<void>;
   stop: () => void;
 }
 
-/** Registers `self` and follows the entries under `prefix`. */
+/** Registers `self` and watches the entries under `prefix`. */
 export const startRegistry = (
   kv: KvClient,
   prefix: string,
   self: EntryAddress,
   options: { leaseTtlMs: number; waitMs: number },
 ): Registry => {
-  const known = new Map<string, EntryAddress>();
+  const entriesByKey = new Map<string, EntryAddress>();
   const key = `${prefix}${self.failureDomain}/${self.id}`;
   let leaseId: string | undefined;
   let stopped = false;
@@ -41,17 +40,17 @@
     if (put.isOk()) leaseId = lease.value.leaseId;
   };
 
-  // Renewing at a third of the TTL leaves two renewals' slack before the key
-  // lapses; a lapse (the entry was paused, or the store was down longer than
-  // the TTL) is noticed as `lease-lapsed` and repaired by registering again.
+  // Renewing every third of the TTL tolerates two failed renewals. If the lease
+  // expires anyway (the entry was paused, or the store was unavailable for
+  // longer than the TTL), `lease-lapsed` is returned and the entry registers again.
   const renew = async () => {
     if (stopped) return;
     if (!leaseId) {
       await register();
       return;
     }
-    const kept = await kv.keepAlive(leaseId);
-    if (kept.isErr() && kept.error.kind === 'lease-lapsed') {
+    const renewal = await kv.keepAlive(leaseId);
+    if (renewal.isErr() && renewal.error.kind === 'lease-lapsed') {
       log.warn('registration lease lapsed; registering again', { id: self.id });
       leaseId = undefined;
       await register();
@@ -65,14 +64,14 @@
   const watch = watchPrefix(kv, prefix, { waitMs: options.waitMs }).subscribe((update) => {
     if (update.kind !== 'items') return;
     update.items.forEach((item) => {
-      if (item.value === null) known.delete(item.key);
-      else known.set(item.key, JSON.parse(item.value) as EntryAddress);
+      if (item.value === null) entriesByKey.delete(item.key);
+      else entriesByKey.set(item.key, JSON.parse(item.value) as EntryAddress);
     });
   });
 
   return {
     entries: () => {
-      const all = new Map(known);
+      const all = new Map(entriesByKey);
       if (!stopped) all.set(key, self);
       return [...all.values()];
     },
--- a/packages/entry/src/state/retryBudget.ts
+++ b/packages/entry/src/state/retryBudget.ts
@@ -1,27 +1,27 @@
 /**
- * A retry budget. When targets fail together, every request retrying turns a
- * fault into an overload: the fleet sends maxAttempts times the traffic to
- * what is left. Each request earns a fraction of a retry and each retry
- * spends one, so retries stay under that fraction of requests however bad
- * things get; `retries_total` against requests shows it.
+ * Limits retries to a fraction of the requests. If many targets fail at once,
+ * unlimited retries would multiply the traffic to the remaining ones by up to
+ * `maxAttempts` and overload them. Each request adds `retryRatio` tokens and each
+ * retry takes one, so beyond the initial `maxTokens` retries stay below that
+ * ratio; compare `retries_total` with the number of requests to check.
  */
 export class RetryBudget {
   private tokens: number;
 
   constructor(
-    private readonly ratio = 0.2,
-    private readonly cap = 50,
+    private readonly retryRatio = 0.2,
+    private readonly maxTokens = 50,
   ) {
-    this.tokens = cap;
+    this.tokens = maxTokens;
   }
 
-  /** Called once per caller request. */
-  earn(): void {
-    this.tokens = Math.min(this.cap, this.tokens + this.ratio);
+  /** Adds the tokens of one caller request. */
+  deposit(): void {
+    this.tokens = Math.min(this.maxTokens, this.tokens + this.retryRatio);
   }
 
-  /** True if a retry may be made now; spends one token. */
-  spend(): boolean {
+  /** Takes one token for a retry; returns false, without taking one, if there is none left. */
+  tryWithdraw(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     return true;
--- a/packages/steering/src/__fixtures__/targets.ts
+++ b/packages/steering/src/__fixtures__/targets.ts
@@ -1,9 +1,9 @@
-/** Target views for steering tests: one live target with fixed slots. */
+/** Builds target states for steering tests. */
 import { failureDomainName, regionName, targetId } from '@cardamomladder/types';
 import type { TargetView } from '../service';
 import type { LoadReport } from '../headroom';
 
-/** A live, warm target `id` in `region` (failure domain `<region>-a`). */
+/** An eligible target in `region`, in failure domain `<region>-a`. */
 export const targetView = (
   id: string,
   region: string,
@@ -18,5 +18,5 @@
   leaving: false,
   firstSeen: 0,
   avoidUntil: 0,
-  load: { slots, local: 0, report },
+  load: { slots, localInflight: 0, report },
 });
--- a/packages/steering/src/__tests__/choose.test.ts
+++ b/packages/steering/src/__tests__/choose.test.ts
@@ -16,11 +16,10 @@
 
 describe('choose', () => {
   it('serves at once when targets arrive between two ticks', () => {
-    // Symptom: the first bookings after start were answered "not run: no
-    // target is live" although the member list had the targets.
-    // Sequence: the entry ticks while it knows no target (empty split),
-    // the member list then brings targets, a request arrives before the
-    // next tick. Cause: choose() picked a region from the empty split.
+    // A tick without any known target leaves an empty split. If targets are
+    // added and a request arrives before the next tick, choose() must not pick
+    // a region from that split, which rejected requests with "no target is
+    // live" just after start.
     const steering = new ServiceSteering(spec, new Map());
     steering.tick(1000);
     steering.targets.set(targetId('book-1'), {
@@ -34,10 +33,9 @@
 
 describe('choose after a region loses its last target', () => {
   it('sends the request to a region that still has one', () => {
-    // Symptom: lookups answered "not run" for a second after one target
-    // started to drain. Sequence: the only target of region north says it
-    // is leaving; until the next tick the split still gives north half the
-    // traffic. Cause: choose() picked north and found no admissible target.
+    // When the only target of region north starts to leave, the split still
+    // gives north half of the traffic until the next tick. choose() must not
+    // pick north, which rejected requests with "not run" for up to a second.
     const steering = new ServiceSteering({ ...spec, shares: { north: 1, south: 1 } }, new Map());
     ['north', 'south'].forEach((region) => {
       steering.targets.set(targetId(`lookup-${region}`), targetView(`lookup-${region}`, region, 4));
--- a/packages/steering/src/__tests__/headroom.test.ts
+++ b/packages/steering/src/__tests__/headroom.test.ts
@@ -1,13 +1,13 @@
 /**
- * "No steering decision overloads a region": headroom from figures that
- * lag or stop, traffic moving away from a region short of its reserve, and
- * refusal rather than overload when a region is full.
+ * Steering must not overload a region: headroom is estimated from delayed or
+ * missing load reports, traffic moves away from a region whose headroom is
+ * below its reserve, and requests are rejected when a region is full.
  */
 import { describe, expect, it } from 'vitest';
 import type { ServiceSpec } from '@cardamomladder/document';
 import { regionName, targetId } from '@cardamomladder/types';
 import { targetView } from '../__fixtures__/targets';
-import { busySlots } from '../headroom';
+import { estimateBusySlots } from '../headroom';
 import { ServiceSteering } from '../service';
 
 const spec: ServiceSpec = {
@@ -36,23 +36,21 @@
 };
 
 describe('headroom', () => {
-  it('takes fresh figures as they are and fades stale ones toward full', () => {
-    // Symptom: work piles onto a target whose load reports stopped.
-    // Sequence: the target reports 1 of 3 slots busy, then goes quiet.
-    // Cause it guards against: trusting the last figure forever.
-    const load = { slots: 3, local: 0, report: { inflight: 1, at: 0 } };
-    expect([0, 2000, 6000, 10_000, 60_000].map((now) => busySlots(load, now))).toEqual([
+  it('uses fresh reports unchanged and moves stale ones toward full', () => {
+    // A target reports 1 of 3 slots busy, then stops reporting. Trusting the
+    // last report indefinitely would overload it.
+    const load = { slots: 3, localInflight: 0, report: { inflight: 1, at: 0 } };
+    expect([0, 2000, 6000, 10_000, 60_000].map((now) => estimateBusySlots(load, now))).toEqual([
       1, 1, 2, 3, 3,
     ]);
-    expect(busySlots({ slots: 4, local: 3 }, 0)).toBe(3);
+    expect(estimateBusySlots({ slots: 4, localInflight: 3 }, 0)).toBe(3);
   });
 
-  it('moves traffic away from a region short of its reserve, no faster than the cap', () => {
-    // Symptom: akureyri's bundles slow to a crawl while reykjavik idles.
-    // Sequence: an entry starts while akureyri reports all slots busy, and
-    // it stays so for a minute. Cause it guards against: an entry that
-    // starts at its own headroom view and so moves its callers' traffic
-    // past the cap at once.
+  it('moves traffic away from a region below its reserve, no faster than the limit', () => {
+    // An entry starts while akureyri reports all slots busy and reykjavik is
+    // idle, for one minute. Traffic must leave akureyri, where requests are
+    // slow, but an entry that starts from its own view of the headroom instead
+    // of the schedule would shift more traffic than the limit at once.
     const steering = steeringWith({ akureyri: 3, reykjavik: 0 }, 0);
     steering.tick(0);
     const start = steering.currentSplit.get(regionName('akureyri')) ?? 0;
@@ -68,7 +66,7 @@
     expect(0.5 - end).toBeLessThanOrEqual(0.2 + 1e-9);
   });
 
-  it('refuses as "region-full" rather than send past the slots', () => {
+  it('rejects with "region-full" instead of exceeding the slots', () => {
     const steering = steeringWith({ akureyri: 3, reykjavik: 3 }, 0);
     steering.tick(0);
     const choices = [0.1, 0.9].map((roll) => steering.choose(10, () => roll));
--- a/packages/steering/src/__tests__/shiftCap.test.ts
+++ b/packages/steering/src/__tests__/shiftCap.test.ts
@@ -1,6 +1,7 @@
 /**
- * "Any shift of traffic stays under the cap set for it", for a fleet of
- * entries that decide independently and see different members and loads.
+ * Property test of the traffic shift limit: entries that decide independently,
+ * with different members and load reports, never shift traffic faster than
+ * `maxShiftPerMinute`.
  */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -12,20 +13,20 @@
 import { ServiceSteering } from '../service';
 
 const REGIONS = ['reykjavik', 'akureyri', 'egilsstadir'].map(regionName);
-const CAP = 0.2;
+const MAX_SHIFT_PER_MINUTE = 0.2;
 
 const spec = (shares: number[], shift?: ServiceSpec['shift']): ServiceSpec => ({
   name: 'stada',
   idempotent: true,
   deadlineMs: 1000,
   maxAttempts: 3,
-  maxShiftPerMinute: CAP,
+  maxShiftPerMinute: MAX_SHIFT_PER_MINUTE,
   warmupSeconds: 0,
   shares: Object.fromEntries(REGIONS.map((r, i) => [r, shares[i]])),
   shift,
 });
 
-const aggregate = (splits: Split[], weights: number[]): Split => {
+const weightedAverage = (splits: Split[], weights: number[]): Split => {
   const total = weights.reduce((a, b) => a + b, 0);
   const sum = new Map<RegionName, number>();
   splits.forEach((s, i) =>
@@ -34,13 +35,13 @@
   return sum;
 };
 
-/** Each entry sees a subset of the targets (membership views differ) and its own load reports. */
+/** Gives an entry its own subset of the targets, with its own load reports. */
 const addTargets = (steering: ServiceSteering, seen: boolean[], busy: number[], now: number) => {
   REGIONS.forEach((region, r) => {
     for (let k = 0; k < 3; k += 1) {
       const index = r * 3 + k;
-      // Every region keeps at least its first target in view: losing a whole
-      // region is the one shift the cap does not govern (see service.ts).
+      // The first target of each region is always present: the loss of a whole
+      // region is the one shift that the limit does not apply to (see service.ts).
       if (k > 0 && !seen[index]) continue;
       const id: TargetId = targetId(`t${index}`);
       steering.targets.set(id, {
@@ -52,14 +53,14 @@
         leaving: false,
         firstSeen: 0,
         avoidUntil: 0,
-        load: { slots: 9, local: 0, report: { inflight: busy[index], at: now } },
+        load: { slots: 9, localInflight: 0, report: { inflight: busy[index], at: now } },
       });
     }
   });
 };
 
-describe('shift cap across independent entries', () => {
-  it('moves no entry, and so not the fleet, faster than maxShiftPerMinute', () => {
+describe('shift limit across independent entries', () => {
+  it('shifts neither an entry nor the fleet faster than maxShiftPerMinute', () => {
     const share = fc.integer({ min: 0, max: 10 });
     fc.assert(
       fc.property(
@@ -70,7 +71,7 @@
         fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 2, maxLength: 6 }),
         fc.array(
           fc.record({
-            dtMs: fc.integer({ min: 10, max: 20_000 }),
+            elapsedMs: fc.integer({ min: 10, max: 20_000 }),
             shares: fc.option(fc.tuple(share, share, share).filter(([a, b, c]) => a + b + c > 0)),
             busy: fc.array(fc.integer({ min: 0, max: 9 }), { minLength: 9, maxLength: 9 }),
           }),
@@ -89,7 +90,7 @@
           });
           steps.forEach((step) => {
             const before = entries.map((e) => e.currentSplit);
-            now += step.dtMs;
+            now += step.elapsedMs;
             if (step.shares) {
               current = spec(step.shares, { from: Object.fromEntries(before[0]), startedAt: now });
               entries.forEach((e) => e.setSpec(current, new Map()));
@@ -98,14 +99,14 @@
               addTargets(e, views[i], step.busy, now);
               e.tick(now);
             });
-            const allowed = (CAP * step.dtMs) / 60_000 + 1e-9;
+            const allowed = (MAX_SHIFT_PER_MINUTE * step.elapsedMs) / 60_000 + 1e-9;
             entries.forEach((e, i) =>
               expect(distance(before[i], e.currentSplit)).toBeLessThanOrEqual(allowed),
             );
             expect(
               distance(
-                aggregate(before, weights),
-                aggregate(
+                weightedAverage(before, weights),
+                weightedAverage(
                   entries.map((e) => e.currentSplit),
                   weights,
                 ),
--- a/packages/steering/src/headroom.ts
+++ b/packages/steering/src/headroom.ts
@@ -1,61 +1,68 @@
 /**
- * How busy a target is, from figures that lag or stop. Targets report their
- * in-flight count on every answer and on their load endpoint; an entry also
- * knows its own in-flight count to each target exactly. When reports stop
- * (the target is partitioned, overloaded, or its endpoint lies by silence),
- * the estimate decays toward "full", so the entry moves work away from what
- * it can no longer see rather than pile onto it.
+ * Estimates target load from reports that can be delayed or missing. Targets
+ * report their in-flight count with every response and on their load endpoint;
+ * an entry also knows exactly how many of its own requests are in flight to
+ * each target. When reports stop (network partition, overload, or a load
+ * endpoint that stops responding), the estimate rises toward "full", so that
+ * the entry moves work away from a target whose load it cannot observe.
  */
 
-/** A target's last report: busy slots at a time, in ms since epoch. */
+/** A target's most recent load report: busy slots at `at` (ms since the epoch). */
 export interface LoadReport {
   inflight: number;
   at: number;
 }
 
-/** What an entry knows of one target's load. */
+/** Load of one target as known to an entry. */
 export interface TargetLoad {
   slots: number;
-  /** Requests this entry has in flight to the target now. */
-  local: number;
+  /** Requests from this entry that are in flight to the target. */
+  localInflight: number;
   report?: LoadReport;
 }
 
-/** How fast figures go stale. */
-export interface Staleness {
-  /** Reports younger than this are taken as they are. */
+/** Age limits for load reports. */
+export interface StalenessLimits {
+  /** Reports up to this age are used unchanged. */
   freshMs: number;
-  /** Reports older than this count as "full". */
+  /** Reports of at least this age count as "full". */
   staleMs: number;
-  /** Busy fraction assumed for a target that has never reported. */
-  unknownBusy: number;
+  /** Busy fraction assumed for a target without any report. */
+  unknownBusyFraction: number;
 }
 
-/** Defaults: reports arrive with every answer, so 2 s without one is already news. */
-export const DEFAULT_STALENESS: Staleness = { freshMs: 2000, staleMs: 10_000, unknownBusy: 0.5 };
+/** Reports arrive with every response, so a gap of 2 s already makes the last one doubtful. */
+export const DEFAULT_STALENESS_LIMITS: StalenessLimits = {
+  freshMs: 2000,
+  staleMs: 10_000,
+  unknownBusyFraction: 0.5,
+};
 
-/** Estimated busy slots of a target at `now`. */
-export const busySlots = (
+/** Estimates the busy slots of a target at `now`. */
+export const estimateBusySlots = (
   load: TargetLoad,
   now: number,
-  staleness: Staleness = DEFAULT_STALENESS,
+  staleness: StalenessLimits = DEFAULT_STALENESS_LIMITS,
 ): number => {
-  if (!load.report) return Math.max(load.local, load.slots * staleness.unknownBusy);
+  if (!load.report) return Math.max(load.localInflight, load.slots * staleness.unknownBusyFraction);
   const age = now - load.report.at;
-  const reported = Math.max(load.report.inflight, load.local);
+  const reported = Math.max(load.report.inflight, load.localInflight);
   if (age <= staleness.freshMs) return reported;
-  const fade = Math.min(1, (age - staleness.freshMs) / (staleness.staleMs - staleness.freshMs));
-  return reported + (load.slots - reported) * fade;
+  const staleFraction = Math.min(
+    1,
+    (age - staleness.freshMs) / (staleness.staleMs - staleness.freshMs),
+  );
+  return reported + (load.slots - reported) * staleFraction;
 };
 
-/** Spare fraction of a set of targets' slots: 1 idle, 0 full, below 0 overloaded. */
+/** Unused fraction of the targets' slots: 1 is idle, 0 is full, below 0 is overloaded. */
 export const headroom = (
   loads: readonly TargetLoad[],
   now: number,
-  staleness: Staleness = DEFAULT_STALENESS,
+  staleness: StalenessLimits = DEFAULT_STALENESS_LIMITS,
 ): number => {
   const slots = loads.reduce((sum, l) => sum + l.slots, 0);
   if (slots === 0) return 0;
-  const busy = loads.reduce((sum, l) => sum + busySlots(l, now, staleness), 0);
+  const busy = loads.reduce((sum, l) => sum + estimateBusySlots(l, now, staleness), 0);
   return 1 - busy / slots;
 };
--- a/packages/steering/src/index.ts
+++ b/packages/steering/src/index.ts
@@ -1,8 +1,8 @@
 export type { Split } from './shares';
-export { distance, moveToward, normalize, restrict, scheduled } from './shares';
-export type { LoadReport, Staleness, TargetLoad } from './headroom';
-export { DEFAULT_STALENESS, busySlots, headroom } from './headroom';
-export type { Choice, Reserves, TargetView } from './service';
+export { distance, moveToward, normalize, restrictToRegions, scheduled } from './shares';
+export type { LoadReport, StalenessLimits, TargetLoad } from './headroom';
+export { DEFAULT_STALENESS_LIMITS, estimateBusySlots, headroom } from './headroom';
+export type { TargetChoice, RegionReserves, TargetView } from './service';
 export { ServiceSteering } from './service';
 export { Load } from './placing/busyEstimate';
 export { ReportFade } from './placing/reportFade';
--- a/packages/steering/src/service.ts
+++ b/packages/steering/src/service.ts
@@ -1,117 +1,118 @@
 /**
- * The steering state of one service at one entry: its targets as the member
- * list and the targets' own answers describe them, and the split of traffic
- * between regions, which follows the operators' shares under the shift cap
- * and moves away from regions short of headroom.
+ * Steering state of one service at one entry: its targets, as described by the
+ * member list and by the targets' own responses, and the traffic split between
+ * regions. The split follows the configured shares at a limited rate and moves
+ * away from regions whose headroom is below their reserve.
  */
 import type { FailureDomainName, RegionName, TargetId } from '@cardamomladder/types';
 import type { ServiceSpec } from '@cardamomladder/document';
-import type { Staleness, TargetLoad } from './headroom';
-import { DEFAULT_STALENESS, busySlots, headroom } from './headroom';
+import type { StalenessLimits, TargetLoad } from './headroom';
+import { DEFAULT_STALENESS_LIMITS, estimateBusySlots, headroom } from './headroom';
 import type { Split } from './shares';
-import { moveToward, normalize, restrict, scheduled } from './shares';
+import { moveToward, normalize, restrictToRegions, scheduled } from './shares';
 
-/** One target as an entry sees it. `load` is updated in place as answers arrive. */
+/** State of one target at an entry. `load` is updated in place as responses arrive. */
 export interface TargetView {
   id: TargetId;
   region: RegionName;
   failureDomain: FailureDomainName;
   address: string;
   slots: number;
-  /** The member list or the target itself said it is leaving. */
+  /** The member list or the target itself reported that it is shutting down. */
   leaving: boolean;
-  /** When this entry first saw the target: the start of its warm-up. */
+  /** When this entry discovered the target, in ms since the epoch: the start of its warm-up. */
   firstSeen: number;
-  /** Not chosen before this time (ms since epoch): it refused a connection or work. */
+  /** Not eligible before this time (ms since the epoch), after a failed connection or an attempt without a response. */
   avoidUntil: number;
   load: TargetLoad;
 }
 
-/** The outcome of a choice: a target, or a refusal to send anything. */
-export type Choice =
+/** Result of target selection: a target, or why the request cannot be sent. */
+export type TargetChoice =
   | { kind: 'target'; target: TargetView }
   | { kind: 'refused'; reason: 'no-target' | 'region-full'; retryAfterMs: number };
 
-/** Region reserves from the document: headroom a region keeps spare. */
-export type Reserves = ReadonlyMap<RegionName, number>;
+/** Reserve per region from the document: the fraction of slots to keep free. */
+export type RegionReserves = ReadonlyMap<RegionName, number>;
 
-/** How long a caller should wait before asking again when everything is full. */
-const FULL_RETRY_AFTER_MS = 1000;
-/** How long to wait when no target exists: the member list needs time to catch up. */
+/** Retry delay for callers when all slots of the region are in use. */
+const REGION_FULL_RETRY_AFTER_MS = 1000;
+/** Retry delay when no target is eligible: the member list needs time to update. */
 const NO_TARGET_RETRY_AFTER_MS = 5000;
-/** Weight of a target that has just arrived, before its caches warm. */
-const COLD_WEIGHT = 0.1;
+/** Initial weight of a new target, before its caches are warm. */
+const COLD_TARGET_WEIGHT = 0.1;
 
-const weightedPick = (split: Split, random: () => number): RegionName | undefined => {
-  let roll = random();
-  let last: RegionName | undefined;
+const pickWeightedRegion = (split: Split, random: () => number): RegionName | undefined => {
+  let remaining = random();
+  let lastRegion: RegionName | undefined;
   for (const [region, share] of split) {
-    last = region;
-    roll -= share;
-    if (roll < 0) return region;
+    lastRegion = region;
+    remaining -= share;
+    if (remaining < 0) return region;
   }
-  return last;
+  return lastRegion;
 };
 
-/** Steering of one service: split between regions and choice of target. */
+/** Steers one service: maintains the split between regions and selects targets. */
 export class ServiceSteering {
   readonly targets = new Map<TargetId, TargetView>();
 
   private spec: ServiceSpec;
 
-  private reserves: Reserves;
+  private reserves: RegionReserves;
 
   private split: Split = new Map();
 
   private lastTick: number | undefined;
 
-  /** Admissible targets per region as of the last tick; see `sample`. */
-  private byRegion = new Map<RegionName, TargetView[]>();
+  /** Eligible targets per region as of the last tick; see `sampleTwo`. */
+  private eligibleByRegion = new Map<RegionName, TargetView[]>();
 
   constructor(
     spec: ServiceSpec,
-    reserves: Reserves,
-    private readonly staleness: Staleness = DEFAULT_STALENESS,
+    reserves: RegionReserves,
+    private readonly staleness: StalenessLimits = DEFAULT_STALENESS_LIMITS,
   ) {
     this.spec = spec;
     this.reserves = reserves;
   }
 
-  /** Takes a new document's view of this service. */
-  setSpec(spec: ServiceSpec, reserves: Reserves): void {
+  /** Applies this service's part of a new document. */
+  setSpec(spec: ServiceSpec, reserves: RegionReserves): void {
     this.spec = spec;
     this.reserves = reserves;
   }
 
-  /** The service's settings now in force. */
+  /** The settings in effect. */
   get settings(): ServiceSpec {
     return this.spec;
   }
 
-  /** The current split between regions. */
   get currentSplit(): Split {
     return this.split;
   }
 
-  /** Whether the target may be given new work at `now`. */
-  admissible(target: TargetView, now: number): boolean {
+  /** Whether the target may receive new requests at `now`. */
+  isEligible(target: TargetView, now: number): boolean {
     return !target.leaving && target.avoidUntil <= now;
   }
 
-  /** Spare fraction of each region's slots among its admissible targets. */
+  /** Headroom per region, over the eligible targets. Regions without one are absent. */
   headroomByRegion(now: number): Map<RegionName, number> {
-    const byRegion = new Map<RegionName, TargetLoad[]>();
+    const loadsByRegion = new Map<RegionName, TargetLoad[]>();
     this.targets.forEach((t) => {
-      if (!this.admissible(t, now)) return;
-      byRegion.set(t.region, [...(byRegion.get(t.region) ?? []), t.load]);
+      if (!this.isEligible(t, now)) return;
+      loadsByRegion.set(t.region, [...(loadsByRegion.get(t.region) ?? []), t.load]);
     });
-    return new Map([...byRegion].map(([r, loads]) => [r, headroom(loads, now, this.staleness)]));
+    return new Map(
+      [...loadsByRegion].map(([r, loads]) => [r, headroom(loads, now, this.staleness)]),
+    );
   }
 
   /**
-   * The operators' shares as the planned-shift schedule places them at
-   * `now`, without regions that have no admissible target. Every entry with
-   * the same document and members computes the same split.
+   * The configured split at `now`, including the progress of a planned shift,
+   * without regions that have no eligible target. Every entry with the same
+   * document and the same eligible targets computes the same split.
    */
   scheduledSplit(now: number): Split {
     const to = normalize(new Map(Object.entries(this.spec.shares) as [RegionName, number][]));
@@ -125,119 +126,139 @@
           now,
         )
       : to;
-    return restrict(base, new Set(this.headroomByRegion(now).keys()));
+    return restrictToRegions(base, new Set(this.headroomByRegion(now).keys()));
   }
 
   /**
-   * The split the entry steers toward at `now`: the scheduled split, with
-   * regions short of their reserve scaled down while another region has
-   * spare room.
+   * The split to move toward at `now`: the scheduled split, with regions whose
+   * headroom is below their reserve scaled down as long as another region has
+   * headroom above its reserve.
    */
-  desired(now: number): Split {
-    const room = this.headroomByRegion(now);
-    const live = this.scheduledSplit(now);
+  desiredSplit(now: number): Split {
+    const headrooms = this.headroomByRegion(now);
+    const scheduledShares = this.scheduledSplit(now);
     const reserve = (r: RegionName) => this.reserves.get(r) ?? 0.15;
-    const short = [...live.keys()].filter((r) => (room.get(r) ?? 0) < reserve(r));
-    const spare = [...live.keys()].some((r) => (room.get(r) ?? 0) > reserve(r));
-    if (short.length === 0 || !spare) return live;
+    const shortRegions = [...scheduledShares.keys()].filter(
+      (r) => (headrooms.get(r) ?? 0) < reserve(r),
+    );
+    const hasSpareHeadroom = [...scheduledShares.keys()].some(
+      (r) => (headrooms.get(r) ?? 0) > reserve(r),
+    );
+    if (shortRegions.length === 0 || !hasSpareHeadroom) return scheduledShares;
     return normalize(
       new Map(
-        [...live].map(([r, share]) => {
-          const h = room.get(r) ?? 0;
-          return [r, h < reserve(r) ? share * Math.max(0.05, h / reserve(r)) : share];
+        [...scheduledShares].map(([r, share]) => {
+          const available = headrooms.get(r) ?? 0;
+          return [
+            r,
+            available < reserve(r) ? share * Math.max(0.05, available / reserve(r)) : share,
+          ];
         }),
       ),
     );
   }
 
   /**
-   * Advances the split to `now`. Each entry moves its own traffic by at most
-   * `maxShiftPerMinute` of it per minute, so the fleet's traffic, a sum of
-   * the entries', moves by at most the same fraction whatever each entry
-   * sees. The one exception is a region with no admissible target left: its
-   * share goes at once, since holding it would only fail requests.
+   * Advances the split to `now`. Each entry shifts at most `maxShiftPerMinute`
+   * of its own traffic per minute. The fleet's traffic is the sum over the
+   * entries, so it shifts by at most the same fraction even if the entries know
+   * different targets. The one exception is a region with no eligible target:
+   * its share moves at once, because keeping it would only fail requests.
    */
   tick(now: number): void {
-    const desired = this.desired(now);
+    const desired = this.desiredSplit(now);
     if (this.lastTick === undefined || this.split.size === 0) {
-      // A starting entry takes the schedule, not its own headroom view:
-      // an entry restarted (220 a day at letter-1 size) must not move its
-      // callers' traffic past the cap by starting somewhere else.
+      // Start from the schedule, not from this entry's own view of the headroom:
+      // a restart (220 per day at the fleet size in docs/CAPACITY.md) must not
+      // shift the callers' traffic faster than `maxShiftPerMinute`.
       this.split = this.scheduledSplit(now);
     } else {
-      const step = (this.spec.maxShiftPerMinute * Math.max(0, now - this.lastTick)) / 60_000;
-      const alive = restrict(this.split, new Set(desired.keys()));
-      this.split = moveToward(alive, desired, step);
+      const maxStep = (this.spec.maxShiftPerMinute * Math.max(0, now - this.lastTick)) / 60_000;
+      const eligibleSplit = restrictToRegions(this.split, new Set(desired.keys()));
+      this.split = moveToward(eligibleSplit, desired, maxStep);
     }
     this.lastTick = now;
-    this.byRegion = new Map();
+    this.eligibleByRegion = new Map();
     this.targets.forEach((t) => {
-      if (!this.admissible(t, now)) return;
-      const list = this.byRegion.get(t.region);
+      if (!this.isEligible(t, now)) return;
+      const list = this.eligibleByRegion.get(t.region);
       if (list) list.push(t);
-      else this.byRegion.set(t.region, [t]);
+      else this.eligibleByRegion.set(t.region, [t]);
     });
   }
 
   /**
-   * First attempts take this path: two candidates drawn from the region's
-   * admissible targets as of the last tick, each checked again now (it may
-   * have started to leave, been dropped, or filled up since). Undefined
-   * sends the caller to the full scan, which is exact.
+   * Fast path for first attempts: picks the better of two random targets from
+   * the region's eligible targets as of the last tick ("power of two choices").
+   * Both are checked again, since a target may have started to leave, been
+   * removed or filled up after the tick. Returns undefined if either check
+   * fails; `choose` then scans all targets.
    */
-  private sample(now: number, random: () => number): TargetView | undefined {
-    const region = weightedPick(this.split, random);
-    const pool = region === undefined ? undefined : this.byRegion.get(region);
+  private sampleTwo(now: number, random: () => number): TargetView | undefined {
+    const region = pickWeightedRegion(this.split, random);
+    const pool = region === undefined ? undefined : this.eligibleByRegion.get(region);
     if (!pool || pool.length === 0) return undefined;
-    const usable = (t: TargetView) =>
+    const isUsable = (t: TargetView) =>
       this.targets.get(t.id) === t &&
-      this.admissible(t, now) &&
-      busySlots(t.load, now, this.staleness) < t.slots;
+      this.isEligible(t, now) &&
+      estimateBusySlots(t.load, now, this.staleness) < t.slots;
     const a = pool[Math.floor(random() * pool.length)];
     const b = pool[Math.floor(random() * pool.length)];
-    if (!usable(a) || !usable(b)) return undefined;
-    return this.score(a, now) <= this.score(b, now) ? a : b;
+    if (!isUsable(a) || !isUsable(b)) return undefined;
+    return this.loadScore(a, now) <= this.loadScore(b, now) ? a : b;
   }
 
-  /** Chooses a target for one attempt; `exclude` holds targets already tried for this request. */
-  choose(now: number, random: () => number, exclude: ReadonlySet<TargetId> = new Set()): Choice {
+  /** Selects a target for one attempt; `exclude` holds the targets already tried for this request. */
+  choose(
+    now: number,
+    random: () => number,
+    exclude: ReadonlySet<TargetId> = new Set(),
+  ): TargetChoice {
     if (this.lastTick === undefined || this.split.size === 0) this.tick(now);
     if (exclude.size === 0) {
-      const fast = this.sample(now, random);
-      if (fast) return { kind: 'target', target: fast };
+      const sampled = this.sampleTwo(now, random);
+      if (sampled) return { kind: 'target', target: sampled };
     }
-    const open = [...this.targets.values()].filter(
-      (t) => this.admissible(t, now) && !exclude.has(t.id),
+    const eligible = [...this.targets.values()].filter(
+      (t) => this.isEligible(t, now) && !exclude.has(t.id),
     );
-    if (open.length === 0)
+    if (eligible.length === 0)
       return { kind: 'refused', reason: 'no-target', retryAfterMs: NO_TARGET_RETRY_AFTER_MS };
     const firstAttempt = exclude.size === 0;
-    // A region whose last target just left keeps its share until the next
-    // tick; picking it would refuse a request that another region can take.
-    const region = weightedPick(restrict(this.split, new Set(open.map((t) => t.region))), random);
-    // A retry may leave the region: the first attempt already failed there,
-    // and a retry is one request, not a shift of traffic.
-    const pool = firstAttempt ? open.filter((t) => t.region === region) : open;
-    const free = pool.filter((t) => busySlots(t.load, now, this.staleness) < t.slots);
-    if (free.length === 0) {
+    // A region that lost its last target keeps its share until the next tick;
+    // picking it would reject a request that another region can serve.
+    const region = pickWeightedRegion(
+      restrictToRegions(this.split, new Set(eligible.map((t) => t.region))),
+      random,
+    );
+    // A retry may go to any region: the first attempt already failed in this
+    // one, and a single request does not count as a traffic shift.
+    const pool = firstAttempt ? eligible.filter((t) => t.region === region) : eligible;
+    const withFreeSlots = pool.filter(
+      (t) => estimateBusySlots(t.load, now, this.staleness) < t.slots,
+    );
+    if (withFreeSlots.length === 0) {
       return {
         kind: 'refused',
         reason: pool.length === 0 ? 'no-target' : 'region-full',
-        retryAfterMs: FULL_RETRY_AFTER_MS,
+        retryAfterMs: REGION_FULL_RETRY_AFTER_MS,
       };
     }
-    const a = free[Math.floor(random() * free.length)];
-    const b = free[Math.floor(random() * free.length)];
-    return { kind: 'target', target: this.score(a, now) <= this.score(b, now) ? a : b };
+    const a = withFreeSlots[Math.floor(random() * withFreeSlots.length)];
+    const b = withFreeSlots[Math.floor(random() * withFreeSlots.length)];
+    return { kind: 'target', target: this.loadScore(a, now) <= this.loadScore(b, now) ? a : b };
   }
 
-  /** Lower is better: busy share of the slots, with cold targets weighted down while they warm. */
-  private score(target: TargetView, now: number): number {
+  /** Busy fraction of the slots (lower is better), raised for targets that are still warming up. */
+  private loadScore(target: TargetView, now: number): number {
     const warmupMs = this.spec.warmupSeconds * 1000;
-    const warm =
+    const warmup =
       warmupMs === 0
         ? 1
-        : Math.min(1, COLD_WEIGHT + ((1 - COLD_WEIGHT) * (now - target.firstSeen)) / warmupMs);
-    return (busySlots(target.load, now, this.staleness) + 1) / (target.slots * warm);
+        : Math.min(
+            1,
+            COLD_TARGET_WEIGHT + ((1 - COLD_TARGET_WEIGHT) * (now - target.firstSeen)) / warmupMs,
+          );
+    return (estimateBusySlots(target.load, now, this.staleness) + 1) / (target.slots * warmup);
   }
 }
--- a/packages/steering/src/shares.ts
+++ b/packages/steering/src/shares.ts
@@ -1,12 +1,12 @@
 /**
- * Shares of traffic per region, and how they move. A split is a map from
- * region to a fraction; fractions sum to 1. The distance between two splits
- * is the total-variation distance: the fraction of traffic that would go to
- * a different region.
+ * Traffic splits between regions. A split maps each region to a fraction of
+ * the traffic; fractions sum to 1. The distance between two splits is the
+ * total-variation distance: the fraction of traffic that would go to a
+ * different region.
  */
 import type { RegionName } from '@cardamomladder/types';
 
-/** Fractions of traffic per region; sums to 1 when any region has a share. */
+/** Fraction of traffic per region; sums to 1 unless it is empty. */
 export type Split = ReadonlyMap<RegionName, number>;
 
 /** Scales weights to fractions that sum to 1; all-zero weights give an empty split. */
@@ -16,7 +16,7 @@
   return new Map([...weights].filter(([, w]) => w > 0).map(([r, w]) => [r, w / total]));
 };
 
-/** Fraction of traffic that goes to a different region under `b` than under `a`. */
+/** Total-variation distance: the fraction of traffic that `a` and `b` send to different regions. */
 export const distance = (a: Split, b: Split): number => {
   const regions = new Set([...a.keys(), ...b.keys()]);
   let sum = 0;
@@ -27,30 +27,30 @@
 };
 
 /**
- * Moves `from` toward `to` by at most `maxStep` of traffic, along the straight
- * line between them, so every intermediate split is a valid mix of the two.
+ * Moves `from` toward `to` by at most `maxStep` of the traffic. Interpolates
+ * linearly, so every intermediate split is a valid split.
  */
 export const moveToward = (from: Split, to: Split, maxStep: number): Split => {
   if (from.size === 0) return to;
   const gap = distance(from, to);
   if (gap <= maxStep || gap === 0) return to;
-  const t = maxStep / gap;
+  const fraction = maxStep / gap;
   const regions = new Set([...from.keys(), ...to.keys()]);
-  const mixed = new Map<RegionName, number>();
+  const interpolated = new Map<RegionName, number>();
   regions.forEach((r) => {
-    const value = (from.get(r) ?? 0) * (1 - t) + (to.get(r) ?? 0) * t;
-    if (value > 1e-12) mixed.set(r, value);
+    const value = (from.get(r) ?? 0) * (1 - fraction) + (to.get(r) ?? 0) * fraction;
+    if (value > 1e-12) interpolated.set(r, value);
   });
-  return mixed;
+  return interpolated;
 };
 
 /**
- * Where a planned shift stands at time `now`: it left `from` at `startedAt`
- * and moves toward `to` at `perMinute` of traffic a minute. Every entry that
- * holds the same document computes the same split, so entries that learn of
- * the change late, or start mid-shift, join the fleet where it is instead of
- * starting the shift again; and no entry is ever ahead of the schedule, so the
- * fleet's shift never exceeds the cap whatever each entry's view.
+ * The split that a planned shift has reached at `now`. The shift starts from
+ * `from` at `startedAt` and moves toward `to` by `perMinute` of the traffic per
+ * minute. The result depends only on the document, so an entry that receives
+ * the change late or starts during the shift continues from the current point
+ * instead of restarting the shift. No entry is ahead of the schedule, so the
+ * fleet never exceeds the rate limit, whatever each entry knows of the targets.
  */
 export const scheduled = (
   from: Split,
@@ -63,6 +63,6 @@
   return moveToward(from, to, elapsedMinutes * perMinute);
 };
 
-/** Removes regions not in `allowed` and renormalises; used when a region has no live target. */
-export const restrict = (split: Split, allowed: ReadonlySet<RegionName>): Split =>
+/** Removes regions that are not in `allowed` (they have no eligible target) and renormalizes. */
+export const restrictToRegions = (split: Split, allowed: ReadonlySet<RegionName>): Split =>
   normalize(new Map([...split].filter(([r]) => allowed.has(r))));
