--- a/packages/entry/src/state/__tests__/config.test.ts
+++ b/packages/entry/src/state/__tests__/config.test.ts
@@ -10,7 +10,7 @@
   modRevision,
 });
 
-describe('followConfig', () => {
+describe('configuration watch', () => {
   it('keeps the newer document when an older one arrives later', async () => {
     // After revision 5 was read, a delayed watch response (or an event replayed
     // after a reconnect) delivers revision 3. Applying the latest message instead
