--- a/packages/targets/src/client/forward.ts
+++ b/packages/targets/src/client/forward.ts
@@ -1,20 +1,19 @@
 /**
- * One attempt to send a caller's request to one target over Node `http`.
- * The attempt ends in one of three ways, and the difference decides what
- * may be retried:
+ * Sends a caller's request once to one target over Node `http`. The result of
+ * the attempt determines whether the request may be retried:
  *
- * - `answer`: the target sent status and headers; the body streams on.
- * - `not-run`: the target surely did not act (no connection was made, or it
- *   answered 503 with `x-not-run` before any work).
- * - `unknown`: the request may have reached the target and we have no answer
- *   (reset, timeout, silent connection): it may or may not have run.
+ * - `answer`: the target sent a status and headers; the body is still streaming.
+ * - `not-run`: the target did not process the request (no connection was made,
+ *   or it responded 503 with `x-not-run` before doing any work).
+ * - `unknown`: the target may or may not have processed the request; it may
+ *   have arrived, but no response did (reset, timeout, unresponsive connection).
  */
 import type { Agent, IncomingHttpHeaders, IncomingMessage, OutgoingHttpHeaders } from 'node:http';
 import { request } from 'node:http';
 import type { NotRunReason } from '../protocol';
 import { DEADLINE_HEADER, LOAD_HEADER, NOT_RUN_HEADER } from '../protocol';
 
-/** What an attempt sends. */
+/** Parameters of one attempt. */
 export interface Attempt {
   /** `host:port` of the target. */
   address: string;
@@ -24,17 +23,17 @@
   body: Buffer;
   /** Absolute deadline, ms since epoch. */
   deadlineAt: number;
-  /** Longest this attempt may wait for the answer's headers, in ms. */
+  /** Timeout for the response headers, in ms. */
   attemptTimeoutMs: number;
-  /** Longest to wait for a TCP connection; past it nothing was sent. */
+  /** Timeout for the TCP connection, in ms; if it expires, nothing was sent. */
   connectTimeoutMs: number;
-  /** A pooled keep-alive agent, or `false` for a fresh connection. */
+  /** A pooled keep-alive agent, or `false` for a new connection. */
   agent: Agent | false;
-  /** Aborted when the caller goes away: the attempt is cancelled at the target too. */
+  /** Aborted when the caller disconnects; this also cancels the request at the target. */
   signal: AbortSignal;
 }
 
-/** How an attempt ended; `load` is the target's busy slots when it said so. */
+/** Result of an attempt; `load` is the number of busy slots, if the target reported it. */
 export type AttemptResult =
   | {
       kind: 'answer';
@@ -46,12 +45,12 @@
   | { kind: 'not-run'; reason: NotRunReason; load?: number; retryAfterMs?: number }
   | { kind: 'unknown'; reason: string };
 
-const loadOf = (headers: IncomingHttpHeaders): number | undefined => {
+const parseLoadHeader = (headers: IncomingHttpHeaders): number | undefined => {
   const value = Number(headers[LOAD_HEADER]);
   return Number.isFinite(value) ? value : undefined;
 };
 
-/** Sends one attempt; never rejects. */
+/** Sends a request once; the returned promise never rejects. */
 export const sendAttempt = (attempt: Attempt): Promise<AttemptResult> =>
   new Promise((resolve) => {
     const [host, port] = attempt.address.split(':');
@@ -78,23 +77,23 @@
       },
     });
     const onAbort = () => {
-      req.destroy(new Error('caller went away'));
+      req.destroy(new Error('caller disconnected'));
     };
     attempt.signal.addEventListener('abort', onAbort, { once: true });
     const timeoutMs = Math.min(remaining, attempt.attemptTimeoutMs);
     timer = setTimeout(() => {
-      // A silent connection looks like this: connected, request written, no
-      // answer. Destroying the socket keeps it out of the pool, so the next
+      // An unresponsive connection accepts the request but never returns a
+      // response. Destroying the socket removes it from the pool, so the next
       // attempt gets a working connection.
       finish(
         connected
-          ? { kind: 'unknown', reason: 'no answer before timeout' }
+          ? { kind: 'unknown', reason: 'no response before timeout' }
           : { kind: 'not-run', reason: 'connect-failed' },
       );
       req.destroy(new Error('attempt timed out'));
     }, timeoutMs);
     req.on('socket', (socket) => {
-      // A pooled socket is already connected; a new one connects first.
+      // A reused pooled socket is already connected and emits no `connect` event.
       if (!socket.connecting) {
         connected = true;
         return;
@@ -116,19 +115,19 @@
         finish({
           kind: 'not-run',
           reason: reason as NotRunReason,
-          load: loadOf(res.headers),
+          load: parseLoadHeader(res.headers),
           retryAfterMs: Number.isFinite(retryAfter) ? retryAfter * 1000 : undefined,
         });
         return;
       }
-      // Cancellation still reaches the target while the body streams.
+      // Also cancel the request at the target if the caller disconnects while the body streams.
       attempt.signal.addEventListener('abort', () => res.destroy(), { once: true });
       finish({
         kind: 'answer',
         status: res.statusCode ?? 502,
         headers: res.headers,
         body: res,
-        load: loadOf(res.headers),
+        load: parseLoadHeader(res.headers),
       });
     });
     req.on('error', (error: Error & { code?: string }) => {
--- a/packages/targets/src/protocol.ts
+++ b/packages/targets/src/protocol.ts
@@ -1,24 +1,24 @@
 /**
- * Headers between entries and targets. Targets are the services' own back
- * ends; these are the conventions the brief says they accept: deadlines,
- * cancellation (closing the connection), load reports, and an explicit word
- * when a request was refused before any work started.
+ * HTTP headers exchanged between entry instances and targets, the back ends of
+ * the services. They carry deadlines, load reports and an explicit signal that
+ * a request was rejected before any work started. A request is cancelled by
+ * closing the connection.
  */
 
-/** Request: milliseconds the target has left to answer; it should not start work it cannot finish. */
+/** Request: milliseconds left to respond; a target should not start work that it cannot finish in time. */
 export const DEADLINE_HEADER = 'x-deadline-ms';
 /** Request: the caller's idempotency key, passed through for non-idempotent services. */
 export const REQUEST_KEY_HEADER = 'x-request-key';
-/** Answer: the target's busy slots when it answered. */
+/** Response: the number of busy slots of the target when it responded. */
 export const LOAD_HEADER = 'x-load';
-/** Answer (503): the request was refused before any work started, with the reason. */
+/** Response (503): the reason why the request was rejected before any work started. */
 export const NOT_RUN_HEADER = 'x-not-run';
 
-/** Why a target refused a request before running it. */
+/** Why a request was rejected before a target processed it. */
 export type NotRunReason =
   'draining' | 'shed' | 'deadline' | 'connect-failed' | 'no-target' | 'region-full' | 'store';
 
-/** Answer to a target's `GET /load`: busy slots, slots, state (may lag or lie). */
+/** Response to a target's `GET /load`; the values may be stale or wrong. */
 export interface LoadReply {
   inflight: number;
   slots: number;
@@ -28,10 +28,10 @@
 
 /** Body of `POST /admin/faults` on the target stand-in. */
 export interface TargetFaults {
-  /** Load endpoint reports idle and healthy whatever the truth. */
+  /** The load and health endpoints always report an idle, healthy target. */
   lie?: boolean;
-  /** Accept connections and requests but never answer, as a silent path does. */
+  /** Accept connections and requests but never respond, as on a network path that drops packets. */
   silent?: boolean;
-  /** Do the work, then drop the connection instead of answering: the reply is lost. */
+  /** Process the request, then drop the connection, so that the response is lost. */
   resetAfterWork?: boolean;
 }
--- a/packages/targets/src/standin/upstream.ts
+++ b/packages/targets/src/standin/targetStandin.ts
@@ -1,9 +1,9 @@
 /**
- * A stand-in for one upstream of a service: a Node http server with a fixed
- * number of slots and a short queue. It behaves as the brief says targets
- * do: it drains, starts with cold caches, sheds load it cannot queue,
- * honours deadlines and cancellation, and reports its load on every answer
- * and on a load endpoint that lags (or lies, when told to).
+ * A stand-in for one target of a service: a Node http server with a fixed
+ * number of slots and a bounded queue. It models how targets behave: it
+ * drains, starts with a cold cache, sheds requests that it cannot queue,
+ * honours deadlines and cancellation, and reports its load in every response
+ * and on a load endpoint that is stale (or wrong, if that fault is set).
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { once } from 'node:events';
@@ -17,40 +17,40 @@
 
 const log = logger('standin:target');
 
-/** How one upstream stand-in behaves. */
-export interface UpstreamOptions {
+/** Options of a target stand-in. */
+export interface TargetStandinOptions {
   id: string;
   service: string;
   region: string;
   failureDomain: string;
   slots: number;
-  /** Requests that may wait for a slot; beyond slots + queue, requests are shed. */
-  queue?: number;
-  /** Work time of one request when caches are warm, in ms. */
+  /** Requests that may wait for a slot (default: `slots`); requests beyond `slots` + `queueLimit` are shed. */
+  queueLimit?: number;
+  /** Processing time of one request with a warm cache, in ms. */
   serviceMs: number;
-  /** Bytes in each answer; large answers stream in chunks. */
+  /** Size of each response body in bytes; large bodies are streamed in chunks. */
   answerBytes: number;
-  /** Time the answer takes to stream, in ms, as a large download over a slow link does. */
+  /** Time to stream the response body, in ms, as for a large download over a slow link. */
   streamMs?: number;
-  /** Work takes this many times longer on a cold cache. */
+  /** Factor by which a cold cache increases the processing time. */
   coldFactor?: number;
-  /** Requests served before the cache is mostly warm. */
+  /** Time constant of the cache warm-up, in requests served. */
   warmRequests?: number;
-  /** How stale the load endpoint is, in ms. */
+  /** Interval at which the load endpoint is updated, in ms. */
   lagMs?: number;
   host?: string;
   port?: number;
-  /** Where to announce the upstream; omitted in unit tests. */
+  /** Member list in which the target announces itself; omitted in unit tests. */
   members?: MemberClient;
 }
 
-/** A record that a non-idempotent request started work, for at-most-once checks. */
+/** Record of a request with an idempotency key whose processing started, for at-most-once checks. */
 export interface Execution {
   key: string;
   at: number;
 }
 
-/** A running upstream stand-in. */
+/** A running target stand-in. */
 export interface Upstream {
   id: string;
   address: string;
@@ -59,7 +59,7 @@
   faults: TargetFaults;
   stats: { served: number; shed: number; cancelled: number; refusedDraining: number };
   inflight: () => number;
-  /** Stops taking new work, waits for work in flight, and resolves with the drain time in ms. */
+  /** Rejects new requests, waits for those in flight and resolves with the drain time in ms. */
   drain: () => Promise<number>;
   /** Drains, then closes the listener. */
   stop: () => Promise<number>;
@@ -74,151 +74,160 @@
       return;
     }
     let timer: NodeJS.Timeout | undefined;
-    const stop = () => {
+    const onAbort = () => {
       clearTimeout(timer);
       resolve(false);
     };
-    // A long answer sleeps once a chunk on one signal; a listener left behind
-    // each time is a leak that Node warns of from the eleventh on.
+    // Streaming a response sleeps once per chunk on the same signal. Remove the
+    // listener each time: Node reports a leak from the 11th listener on.
     timer = setTimeout(() => {
-      signal.removeEventListener('abort', stop);
+      signal.removeEventListener('abort', onAbort);
       resolve(true);
     }, ms);
-    signal.addEventListener('abort', stop, { once: true });
+    signal.addEventListener('abort', onAbort, { once: true });
   });
 
-/** Starts an upstream stand-in and announces it as live. */
-export const startUpstream = async (options: UpstreamOptions): Promise<Upstream> => {
-  const queueLimit = options.queue ?? options.slots;
+/** Starts a target stand-in and announces it as live. */
+export const startUpstream = async (options: TargetStandinOptions): Promise<Upstream> => {
+  const queueLimit = options.queueLimit ?? options.slots;
   const coldFactor = options.coldFactor ?? 3;
   const warmRequests = options.warmRequests ?? 200;
   const lagMs = options.lagMs ?? 1000;
   const executions: Execution[] = [];
   const faults: TargetFaults = {};
   const stats = { served: 0, shed: 0, cancelled: 0, refusedDraining: 0 };
-  const waiting: (() => void)[] = [];
-  let busy = 0;
-  let open = 0;
+  const slotQueue: (() => void)[] = [];
+  let busySlots = 0;
+  let openRequests = 0;
   let leaving = false;
-  let drained: (() => void) | undefined;
-  let lagged: LoadReply = { inflight: 0, slots: options.slots, state: 'live', at: Date.now() };
-  const lagTimer = setInterval(() => {
-    lagged = {
-      inflight: busy,
+  let resolveDrain: (() => void) | undefined;
+  let publishedLoad: LoadReply = {
+    inflight: 0,
+    slots: options.slots,
+    state: 'live',
+    at: Date.now(),
+  };
+  const publishTimer = setInterval(() => {
+    publishedLoad = {
+      inflight: busySlots,
       slots: options.slots,
       state: leaving ? 'leaving' : 'live',
       at: Date.now(),
     };
   }, lagMs);
-  lagTimer.unref();
+  publishTimer.unref();
 
-  const settle = () => {
-    if (leaving && open === 0 && drained) drained();
+  const resolveDrainIfIdle = () => {
+    if (leaving && openRequests === 0 && resolveDrain) resolveDrain();
   };
 
-  const refuse = (res: ServerResponse, reason: NotRunReason) => {
+  const rejectRequest = (res: ServerResponse, reason: NotRunReason) => {
     res.writeHead(503, {
       [NOT_RUN_HEADER]: reason,
-      [LOAD_HEADER]: String(busy),
+      [LOAD_HEADER]: String(busySlots),
       'retry-after': '1',
     });
     res.end();
   };
 
-  const acquire = () =>
+  const acquireSlot = () =>
     new Promise<void>((resolve) => {
-      if (busy < options.slots) {
-        busy += 1;
+      if (busySlots < options.slots) {
+        busySlots += 1;
         resolve();
         return;
       }
-      waiting.push(() => {
-        busy += 1;
+      slotQueue.push(() => {
+        busySlots += 1;
         resolve();
       });
     });
 
-  const release = () => {
-    busy -= 1;
-    waiting.shift()?.();
+  const releaseSlot = () => {
+    busySlots -= 1;
+    slotQueue.shift()?.();
   };
 
-  const streamAnswer = async (res: ServerResponse, signal: AbortSignal) => {
+  const streamResponse = async (res: ServerResponse, signal: AbortSignal) => {
     res.writeHead(200, {
       'content-type': 'application/octet-stream',
       'content-length': options.answerBytes,
-      [LOAD_HEADER]: String(busy),
+      [LOAD_HEADER]: String(busySlots),
     });
-    let left = options.answerBytes;
+    let remainingBytes = options.answerBytes;
     const chunk = Buffer.alloc(Math.min(CHUNK_BYTES, options.answerBytes), 0x61);
-    const pause =
+    const chunkDelayMs =
       (options.streamMs ?? 0) / Math.max(1, Math.ceil(options.answerBytes / chunk.length));
-    while (left > 0 && !signal.aborted) {
-      const part = left >= chunk.length ? chunk : chunk.subarray(0, left);
-      left -= part.length;
-      if (!res.write(part)) await once(res, 'drain');
-      if (pause > 0) await sleep(pause, signal);
+    while (remainingBytes > 0 && !signal.aborted) {
+      const slice = remainingBytes >= chunk.length ? chunk : chunk.subarray(0, remainingBytes);
+      remainingBytes -= slice.length;
+      if (!res.write(slice)) await once(res, 'drain');
+      if (chunkDelayMs > 0) await sleep(chunkDelayMs, signal);
     }
     res.end();
   };
 
-  const work = async (req: IncomingMessage, res: ServerResponse) => {
+  const serveRequest = async (req: IncomingMessage, res: ServerResponse) => {
     if (faults.silent) return;
     if (leaving) {
       stats.refusedDraining += 1;
-      refuse(res, 'draining');
+      rejectRequest(res, 'draining');
       return;
     }
-    if (busy + waiting.length >= options.slots + queueLimit) {
+    if (busySlots + slotQueue.length >= options.slots + queueLimit) {
       stats.shed += 1;
-      refuse(res, 'shed');
+      rejectRequest(res, 'shed');
       return;
     }
-    const budget = Number(req.headers[DEADLINE_HEADER] ?? 'NaN');
-    if (budget < 1) {
-      refuse(res, 'deadline');
+    const remainingMs = Number(req.headers[DEADLINE_HEADER] ?? 'NaN');
+    if (remainingMs < 1) {
+      rejectRequest(res, 'deadline');
       return;
     }
-    const cancel = new AbortController();
+    const abortController = new AbortController();
     res.on('close', () => {
-      if (!res.writableFinished) cancel.abort();
+      if (!res.writableFinished) abortController.abort();
     });
-    open += 1;
+    openRequests += 1;
     try {
-      await acquire();
+      await acquireSlot();
       try {
         const key = req.headers[REQUEST_KEY_HEADER];
         if (typeof key === 'string') executions.push({ key, at: Date.now() });
-        const cold = 1 + (coldFactor - 1) * Math.exp(-stats.served / warmRequests);
-        const finished = await sleep(options.serviceMs * cold, cancel.signal);
+        const coldMultiplier = 1 + (coldFactor - 1) * Math.exp(-stats.served / warmRequests);
+        const finished = await sleep(options.serviceMs * coldMultiplier, abortController.signal);
         if (!finished) {
           stats.cancelled += 1;
           return;
         }
         stats.served += 1;
       } finally {
-        release();
+        releaseSlot();
       }
       if (faults.resetAfterWork) {
         res.socket?.destroy();
         return;
       }
-      await streamAnswer(res, cancel.signal);
+      await streamResponse(res, abortController.signal);
     } finally {
-      open -= 1;
-      settle();
+      openRequests -= 1;
+      resolveDrainIfIdle();
     }
   };
 
   const handle = (req: IncomingMessage, res: ServerResponse) => {
     const path = new URL(req.url ?? '/', 'http://target').pathname;
     if (path === '/load') {
-      sendJson(res, 200, faults.lie ? { ...lagged, inflight: 0, state: 'live' } : lagged);
+      sendJson(
+        res,
+        200,
+        faults.lie ? { ...publishedLoad, inflight: 0, state: 'live' } : publishedLoad,
+      );
       return;
     }
     if (path === '/health') {
       sendJson(res, faults.lie || !leaving ? 200 : 503, {
-        state: faults.lie ? 'live' : lagged.state,
+        state: faults.lie ? 'live' : publishedLoad.state,
       });
       return;
     }
@@ -231,11 +240,11 @@
         .catch(() => sendJson(res, 400, { error: 'send a JSON object of faults' }));
       return;
     }
-    // Request bodies are read before work starts, so a request refused as
-    // "not run" has not been acted on in any part.
+    // The request body is read before processing starts, so a request rejected
+    // as "not run" has not been processed even in part.
     req.resume();
     req.on('end', () => {
-      work(req, res).catch((error: Error) => {
+      serveRequest(req, res).catch((error: Error) => {
         log.error('work failed', { id: options.id, error: error.message });
         if (!res.headersSent) sendJson(res, 500, { error: error.message });
       });
@@ -263,9 +272,9 @@
     const started = Date.now();
     leaving = true;
     await options.members?.announce({ ...member, state: 'leaving' });
-    if (open > 0) {
+    if (openRequests > 0) {
       await new Promise<void>((resolve) => {
-        drained = resolve;
+        resolveDrain = resolve;
       });
     }
     const ms = Date.now() - started;
@@ -275,7 +284,7 @@
 
   const stop = async () => {
     const ms = await drain();
-    clearInterval(lagTimer);
+    clearInterval(publishTimer);
     await options.members?.remove(options.id);
     await new Promise<void>((resolve) => {
       server.close(() => resolve());
@@ -291,7 +300,7 @@
     executions,
     faults,
     stats,
-    inflight: () => open,
+    inflight: () => openRequests,
     drain,
     stop,
   };
