--- a/packages/platform-kv/src/client/__tests__/watch.test.ts
+++ b/packages/platform-kv/src/client/__tests__/watch.test.ts
@@ -1,4 +1,3 @@
-/** How a watch goes on after what the store answers. */
 import { okAsync } from 'neverthrow';
 import { firstValueFrom, take, toArray } from 'rxjs';
 import { describe, expect, it } from 'vitest';
@@ -8,9 +7,10 @@
 
 const KEY = kvKey('document');
 
-describe('a watch', () => {
-  // Guards against waiting at a revision that a store which came back from an older copy has yet to reach again.
-  it('reads everything again where the store is at an earlier revision', async () => {
+describe('watchPrefix', () => {
+  // A store restored from an older copy is at an earlier revision. A watch that
+  // kept its own revision would miss every write until the store reaches it again.
+  it('reads the whole prefix again if the store is at an earlier revision', async () => {
     const items = [
       [{ key: KEY, value: 'before', modRevision: 9 }],
       [{ key: KEY, value: 'after', modRevision: 5 }],
--- a/packages/platform-kv/src/client/kvClient.ts
+++ b/packages/platform-kv/src/client/kvClient.ts
@@ -1,9 +1,9 @@
 /**
  * Client of the platform key-value service. Every call returns a typed
- * `Result`; the failure kinds tell the caller what it may assume:
- * `store-unavailable` (the call surely did not take effect),
- * `store-outcome-unknown` (a write may have taken effect: re-read),
- * `store-conflict` (compare-and-swap lost), `lease-lapsed`.
+ * `Result`; the failure kind tells the caller what it may assume:
+ * `store-unavailable` (the call had no effect), `store-outcome-unknown` (a
+ * write may have taken effect; read the key again), `store-conflict` (the
+ * compare-and-swap failed), `lease-lapsed` (the lease expired).
  */
 import type { ResultAsync } from 'neverthrow';
 import { errAsync, okAsync } from 'neverthrow';
@@ -21,13 +21,13 @@
   WatchReply,
 } from '../protocol';
 
-/** Where the store is and how long a call may take. */
+/** Options of a KV client. */
 export interface KvClientOptions {
   /** Base URL, e.g. `http://127.0.0.1:7400`. */
   url: string;
-  /** Timeout of one ordinary call in milliseconds. */
+  /** Timeout of a call other than a watch, in milliseconds. */
   timeoutMs?: number;
-  /** Told of every call made, by route name; for metrics and the capacity bench. */
+  /** Called with the route name of every call, for metrics and the capacity benchmark. */
   onCall?: (call: string) => void;
 }
 
@@ -35,13 +35,13 @@
 export type KvClient = ReturnType<typeof createKvClient>;
 
 const DEFAULT_TIMEOUT_MS = 2000;
-/** Extra time a watch call may take beyond the wait it asked the store for. */
+/** Time added to the requested wait to get the timeout of a watch call. */
 const WATCH_SLACK_MS = 2000;
 
-const unavailable = (url: string, why: string) =>
+const unavailable = (url: string, reason: string) =>
   failure(
     'store-unavailable',
-    `the platform KV at ${url} did not answer (${why}); the last good configuration stays in force; check the store's health`,
+    `the platform KV at ${url} did not respond (${reason}); the last valid configuration remains in use; check the health of the store`,
   );
 
 /** Creates a KV client for the store at `options.url`. */
@@ -60,7 +60,7 @@
         init.write && e.sent
           ? failure(
               'store-outcome-unknown',
-              `the platform KV lost the reply to a write (${e.message}); re-read the key to learn whether it took effect`,
+              `no response from the platform KV to a write (${e.message}); read the key again to find out whether the write took effect`,
             )
           : unavailable(base, e.message),
       )
@@ -71,48 +71,49 @@
       );
   };
 
-  const key = (k: string) => `/v1/kv/${encodeURIComponent(k)}`;
+  const keyPath = (key: string) => `/v1/kv/${encodeURIComponent(key)}`;
 
   return {
     url: base,
 
-    /** Reads one key; null if absent. */
-    get: (k: string): ResultAsync<KvItem | null, Failure> =>
-      call('get', key(k)).map((r) => (r.body as GetReply).item),
+    /** Reads a key; null if it does not exist. */
+    get: (key: string): ResultAsync<KvItem | null, Failure> =>
+      call('get', keyPath(key)).map((r) => (r.body as GetReply).item),
 
     /** Reads all keys under a prefix. */
     list: (prefix: string): ResultAsync<ListReply, Failure> =>
       call('list', `/v1/kv?prefix=${encodeURIComponent(prefix)}`).map((r) => r.body as ListReply),
 
-    /** Writes a key; `expectRevision` makes it a compare-and-swap (0: must not exist). */
+    /** Writes a key; with `expectRevision`, as a compare-and-swap (0: the key must not exist). */
     put: (
-      k: string,
+      key: string,
       value: string,
       opts: { expectRevision?: number; leaseId?: string } = {},
     ): ResultAsync<number, Failure> =>
-      call('put', key(k), { method: 'PUT', body: { value, ...opts }, write: true }).andThen((r) =>
-        r.status === 409
-          ? errAsync(
-              failure(
-                'store-conflict',
-                `key ${k} changed since revision ${opts.expectRevision}; re-read it and apply your change again`,
-                { currentRevision: (r.body as ConflictReply).currentRevision },
-              ),
-            )
-          : okAsync((r.body as PutReply).modRevision),
+      call('put', keyPath(key), { method: 'PUT', body: { value, ...opts }, write: true }).andThen(
+        (r) =>
+          r.status === 409
+            ? errAsync(
+                failure(
+                  'store-conflict',
+                  `key ${key} changed since revision ${opts.expectRevision}; read it again and reapply the change`,
+                  { currentRevision: (r.body as ConflictReply).currentRevision },
+                ),
+              )
+            : okAsync((r.body as PutReply).modRevision),
       ),
 
-    /** Deletes a key; absent keys are not an error. */
-    delete: (k: string): ResultAsync<void, Failure> =>
-      call('delete', key(k), { method: 'DELETE', write: true }).map(() => undefined),
+    /** Deletes a key; a key that does not exist is not an error. */
+    delete: (key: string): ResultAsync<void, Failure> =>
+      call('delete', keyPath(key), { method: 'DELETE', write: true }).map(() => undefined),
 
-    /** Grants a lease of `ttlMs`. */
+    /** Creates a lease that expires `ttlMs` after its last keep-alive. */
     grantLease: (ttlMs: number): ResultAsync<LeaseReply, Failure> =>
       call('lease', '/v1/leases', { method: 'POST', body: { ttlMs }, write: true }).map(
         (r) => r.body as LeaseReply,
       ),
 
-    /** Keeps a lease alive; `lease-lapsed` if it already lapsed. */
+    /** Renews a lease; fails with `lease-lapsed` if it has already expired. */
     keepAlive: (leaseId: string): ResultAsync<void, Failure> =>
       call('keepalive', `/v1/leases/${encodeURIComponent(leaseId)}/keepalive`, {
         method: 'POST',
@@ -122,13 +123,13 @@
           ? errAsync(
               failure(
                 'lease-lapsed',
-                `lease ${leaseId} lapsed; grant a new lease and write your keys again`,
+                `lease ${leaseId} expired; create a new lease and write its keys again`,
               ),
             )
           : okAsync(undefined),
       ),
 
-    /** Waits up to `waitMs` for events under `prefix` after revision `after`. */
+    /** Waits up to `waitMs` for events on keys under `prefix` after revision `after`. */
     watchOnce: (prefix: string, after: number, waitMs: number): ResultAsync<WatchReply, Failure> =>
       call(
         'watch',
--- a/packages/platform-kv/src/index.ts
+++ b/packages/platform-kv/src/index.ts
@@ -1,6 +1,6 @@
 export type {
   ConflictReply,
-  Faults,
+  KvFaults,
   GetReply,
   KvItem,
   LeaseReply,
--- a/packages/platform-kv/src/server/__tests__/store.test.ts
+++ b/packages/platform-kv/src/server/__tests__/store.test.ts
@@ -25,7 +25,7 @@
     `);
   });
 
-  it('deletes the keys of a lease once it lapses', () => {
+  it('deletes the keys of a lease when it expires', () => {
     let now = 0;
     const store = new KvStore(() => now);
     const lease = store.grantLease(1000);
--- a/packages/platform-kv/src/server/platform.ts
+++ b/packages/platform-kv/src/server/platform.ts
@@ -1,6 +1,6 @@
 /**
- * The platform stand-in process: one http listener that serves the KV
- * routes and any other platform routes handed in (the member list).
+ * The platform stand-in: an http server for the KV routes and for any other
+ * platform routes passed as handlers (the member list).
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -9,7 +9,7 @@
 import type { KvStandin } from './standin';
 import { createKvStandin } from './standin';
 
-/** A route handler that answers and returns true, or returns false to pass. */
+/** A route handler; returns false if it does not handle the request. */
 export type Handler = (req: IncomingMessage, res: ServerResponse) => boolean;
 
 /** A running platform stand-in. */
--- a/packages/platform-kv/src/server/standin.ts
+++ b/packages/platform-kv/src/server/standin.ts
@@ -1,14 +1,14 @@
 /**
- * The platform KV stand-in over HTTP. It speaks the routes in this package's
- * README, counts every call (a waiting watch as one, as the platform bills
- * it) and can be told to fail: down, slow, or losing the reply to a write
+ * HTTP stand-in of the platform KV. It implements the routes in this package's
+ * README, counts calls (a watch as one call, as the platform bills it) and
+ * can inject faults: an outage, slow responses, or a lost response to a write
  * that has already taken effect.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { readJson, sendJson } from '@cardamomladder/http-json';
 import type {
   ConflictReply,
-  Faults,
+  KvFaults,
   LeaseRequest,
   PutRequest,
   StatsReply,
@@ -16,21 +16,21 @@
 } from '../protocol';
 import { KvStore } from './store';
 
-/** Longest a watch may wait before answering with no events. */
+/** Maximum time for which a watch is held before an empty response. */
 const MAX_WATCH_MS = 60_000;
-const LEASE_SWEEP_MS = 250;
+const LEASE_EXPIRY_CHECK_MS = 250;
 
 const delay = (ms: number) =>
   new Promise<void>((resolve) => {
     setTimeout(resolve, ms);
   });
 
-/** A mounted KV stand-in: its state, its faults, and a handler for its routes. */
+/** A KV stand-in: its state, its faults and a handler for its routes. */
 export interface KvStandin {
   store: KvStore;
-  faults: Faults;
+  faults: KvFaults;
   calls: Map<string, number>;
-  /** Handles the request if its path is one of ours; false otherwise. */
+  /** Handles the request if its path is a KV route; returns false otherwise. */
   handle: (req: IncomingMessage, res: ServerResponse) => boolean;
   stop: () => void;
 }
@@ -38,16 +38,16 @@
 /** Creates a KV stand-in; mount `handle` on an http server. */
 export const createKvStandin = (now: () => number = Date.now): KvStandin => {
   const store = new KvStore(now);
-  const faults: Faults = {};
+  const faults: KvFaults = {};
   const calls = new Map<string, number>();
-  const sweep = setInterval(() => store.expireLeases(), LEASE_SWEEP_MS);
-  sweep.unref();
-  const count = (call: string) => calls.set(call, (calls.get(call) ?? 0) + 1);
+  const leaseExpiryTimer = setInterval(() => store.expireLeases(), LEASE_EXPIRY_CHECK_MS);
+  leaseExpiryTimer.unref();
+  const countCall = (call: string) => calls.set(call, (calls.get(call) ?? 0) + 1);
 
-  const write = (res: ServerResponse, status: number, body: unknown) => {
-    // A lost reply: the write took effect but the caller never hears so.
-    // This is the platform's hardest failure for writers; the console must
-    // re-read to learn whether its change happened.
+  const sendWriteReply = (res: ServerResponse, status: number, body: unknown) => {
+    // The write took effect but its response is lost. This is the platform's
+    // hardest failure for writers: the console must read the key again to find
+    // out whether its change was applied.
     if ((faults.loseReplies ?? 0) > 0 && status === 200) {
       faults.loseReplies = (faults.loseReplies ?? 1) - 1;
       res.socket?.destroy();
@@ -71,17 +71,17 @@
     }
     await new Promise<void>((resolve) => {
       let timer: NodeJS.Timeout | undefined;
-      const cancel = store.onEvent(prefix, after, () => {
+      const unsubscribe = store.onEvent(prefix, after, () => {
         clearTimeout(timer);
         resolve();
       });
       timer = setTimeout(() => {
-        cancel();
+        unsubscribe();
         resolve();
       }, timeoutMs);
       res.on('close', () => {
         clearTimeout(timer);
-        cancel();
+        unsubscribe();
         resolve();
       });
     });
@@ -92,7 +92,7 @@
     const { pathname } = url;
     const method = req.method ?? 'GET';
     if (pathname === '/v1/faults' && method === 'POST') {
-      Object.assign(faults, (await readJson(req)) as Faults);
+      Object.assign(faults, (await readJson(req)) as KvFaults);
       sendJson(res, 200, faults);
       return;
     }
@@ -106,18 +106,18 @@
       return;
     }
     if (faults.down) {
-      count('refused');
+      countCall('refused');
       sendJson(res, 503, { error: 'unavailable' });
       return;
     }
     if (faults.delayMs) await delay(faults.delayMs);
     if (pathname === '/v1/watch') {
-      count('watch');
+      countCall('watch');
       await watch(url, res);
       return;
     }
     if (pathname === '/v1/kv' && method === 'GET') {
-      count('list');
+      countCall('list');
       sendJson(res, 200, {
         items: store.list(url.searchParams.get('prefix') ?? ''),
         revision: store.currentRevision,
@@ -125,29 +125,30 @@
       return;
     }
     if (pathname === '/v1/leases' && method === 'POST') {
-      count('lease');
+      countCall('lease');
       const body = (await readJson(req)) as LeaseRequest;
       const ttlMs = Number(body?.ttlMs ?? 10_000);
-      write(res, 200, { leaseId: store.grantLease(ttlMs), ttlMs });
+      sendWriteReply(res, 200, { leaseId: store.grantLease(ttlMs), ttlMs });
       return;
     }
-    const keepalive = /^\/v1\/leases\/([^/]+)\/keepalive$/.exec(pathname);
-    if (keepalive && method === 'POST') {
-      count('keepalive');
-      if (store.keepAlive(keepalive[1])) write(res, 200, { leaseId: keepalive[1] });
+    const keepAliveMatch = /^\/v1\/leases\/([^/]+)\/keepalive$/.exec(pathname);
+    if (keepAliveMatch && method === 'POST') {
+      countCall('keepalive');
+      if (store.keepAlive(keepAliveMatch[1]))
+        sendWriteReply(res, 200, { leaseId: keepAliveMatch[1] });
       else sendJson(res, 404, { error: 'lease lapsed' });
       return;
     }
-    const kv = /^\/v1\/kv\/(.+)$/.exec(pathname);
-    if (kv) {
-      const key = decodeURIComponent(kv[1]);
+    const keyMatch = /^\/v1\/kv\/(.+)$/.exec(pathname);
+    if (keyMatch) {
+      const key = decodeURIComponent(keyMatch[1]);
       if (method === 'GET') {
-        count('get');
+        countCall('get');
         sendJson(res, 200, { item: store.get(key), revision: store.currentRevision });
         return;
       }
       if (method === 'PUT') {
-        count('put');
+        countCall('put');
         const body = (await readJson(req)) as PutRequest;
         if (typeof body?.value !== 'string') {
           sendJson(res, 400, {
@@ -156,7 +157,7 @@
           return;
         }
         const outcome = store.put(key, body.value, body.expectRevision, body.leaseId);
-        if (outcome.applied) write(res, 200, { modRevision: outcome.modRevision });
+        if (outcome.applied) sendWriteReply(res, 200, { modRevision: outcome.modRevision });
         else
           sendJson(res, 409, {
             error: 'conflict',
@@ -165,10 +166,13 @@
         return;
       }
       if (method === 'DELETE') {
-        count('delete');
-        const expect = url.searchParams.get('expectRevision');
-        const outcome = store.delete(key, expect === null ? undefined : Number(expect));
-        if (outcome.applied) write(res, 200, { modRevision: outcome.modRevision });
+        countCall('delete');
+        const expectRevision = url.searchParams.get('expectRevision');
+        const outcome = store.delete(
+          key,
+          expectRevision === null ? undefined : Number(expectRevision),
+        );
+        if (outcome.applied) sendWriteReply(res, 200, { modRevision: outcome.modRevision });
         else sendJson(res, 409, { error: 'conflict', currentRevision: outcome.currentRevision });
         return;
       }
@@ -193,5 +197,5 @@
     return true;
   };
 
-  return { store, faults, calls, handle, stop: () => clearInterval(sweep) };
+  return { store, faults, calls, handle, stop: () => clearInterval(leaseExpiryTimer) };
 };
--- a/packages/platform-kv/src/server/store.ts
+++ b/packages/platform-kv/src/server/store.ts
@@ -1,12 +1,12 @@
 /**
- * The in-memory state of the KV stand-in: keys with revisions, compare-and-
- * swap, leases that delete their keys when they lapse, and a short event log
- * that watches read from. It models the platform's published behaviour, not
- * its durability: nothing is kept on disk.
+ * In-memory state of the KV stand-in: keys with revisions, compare-and-swap,
+ * leases whose keys are deleted on expiry, and a bounded event log for
+ * watches. It models the platform's documented behaviour except for its
+ * durability: nothing is persisted.
  */
 import type { KvItem } from '../protocol';
 
-interface Stored {
+interface StoredValue {
   value: string;
   modRevision: number;
   leaseId?: string;
@@ -19,21 +19,21 @@
 interface Waiter {
   prefix: string;
   after: number;
-  wake: () => void;
+  notify: () => void;
 }
 
-/** Result of a put or delete: applied with a revision, or a conflict. */
+/** Result of a put or delete: the new revision, or a conflict with the current one. */
 export type WriteOutcome =
   { applied: true; modRevision: number } | { applied: false; currentRevision: number };
 
-/** How many past events a watch can resume from before it must re-read. */
+/** Number of past events kept; a watch that resumes from before them must read the prefix again. */
 const EVENT_LOG_LIMIT = 10_000;
 
-/** The stand-in's key-value state. `now` is injected so tests control time. */
+/** State of the KV stand-in. `now` can be injected to control time in tests. */
 export class KvStore {
   private revision = 0;
 
-  private readonly keys = new Map<string, Stored>();
+  private readonly keys = new Map<string, StoredValue>();
 
   private readonly leases = new Map<string, Lease>();
 
@@ -45,12 +45,12 @@
 
   constructor(private readonly now: () => number = Date.now) {}
 
-  /** Current store revision: the revision of the newest write. */
+  /** Revision of the newest write. */
   get currentRevision(): number {
     return this.revision;
   }
 
-  /** Reads one key. */
+  /** Reads a key; null if it does not exist. */
   get(key: string): KvItem | null {
     const stored = this.keys.get(key);
     return stored ? { key, value: stored.value, modRevision: stored.modRevision } : null;
@@ -64,7 +64,7 @@
       .map(([key, s]) => ({ key, value: s.value, modRevision: s.modRevision }));
   }
 
-  /** Writes a key; with `expectRevision` only if the key is at that revision (0: absent). */
+  /** Writes a key; with `expectRevision` only if the key is at that revision (0: it does not exist). */
   put(key: string, value: string, expectRevision?: number, leaseId?: string): WriteOutcome {
     const current = this.keys.get(key)?.modRevision ?? 0;
     if (expectRevision !== undefined && expectRevision !== current) {
@@ -76,7 +76,7 @@
     this.revision += 1;
     this.keys.set(key, { value, modRevision: this.revision, leaseId });
     if (leaseId !== undefined) this.leases.get(leaseId)?.keys.add(key);
-    this.record({ key, value, modRevision: this.revision });
+    this.appendEvent({ key, value, modRevision: this.revision });
     return { applied: true, modRevision: this.revision };
   }
 
@@ -89,11 +89,11 @@
     }
     this.revision += 1;
     this.keys.delete(key);
-    this.record({ key, value: null, modRevision: this.revision });
+    this.appendEvent({ key, value: null, modRevision: this.revision });
     return { applied: true, modRevision: this.revision };
   }
 
-  /** Grants a lease that lapses `ttlMs` after its last keep-alive. */
+  /** Creates a lease that expires `ttlMs` after its last keep-alive. */
   grantLease(ttlMs: number): string {
     const id = `lease-${this.nextLease}`;
     this.nextLease += 1;
@@ -101,7 +101,7 @@
     return id;
   }
 
-  /** Extends a lease; false if it has already lapsed. */
+  /** Renews a lease; returns false if it has already expired. */
   keepAlive(leaseId: string): boolean {
     this.expireLeases();
     const lease = this.leases.get(leaseId);
@@ -110,7 +110,7 @@
     return true;
   }
 
-  /** Drops lapsed leases and the keys attached to them. */
+  /** Removes expired leases and deletes the keys attached to them. */
   expireLeases(): void {
     const now = this.now();
     [...this.leases.entries()]
@@ -124,8 +124,9 @@
   }
 
   /**
-   * Events under `prefix` after revision `after`. `compacted` says the log no
-   * longer reaches back that far, so the watcher must re-read with `list`.
+   * Returns the events on keys under `prefix` after revision `after`. If
+   * `compacted`, the log no longer contains all of them and the watcher must
+   * read the prefix again with `list`.
    */
   eventsAfter(prefix: string, after: number): { events: KvItem[]; compacted: boolean } {
     const oldest = this.events[0]?.modRevision ?? this.revision + 1;
@@ -134,14 +135,14 @@
     return { events, compacted };
   }
 
-  /** Calls `wake` once when an event under `prefix` after `after` exists; returns a cancel function. */
-  onEvent(prefix: string, after: number, wake: () => void): () => void {
-    const waiter: Waiter = { prefix, after, wake };
+  /** Calls `notify` once, at the next event on a key under `prefix` after revision `after`; returns a function that cancels it. */
+  onEvent(prefix: string, after: number, notify: () => void): () => void {
+    const waiter: Waiter = { prefix, after, notify };
     this.waiters.add(waiter);
     return () => this.waiters.delete(waiter);
   }
 
-  private record(event: KvItem): void {
+  private appendEvent(event: KvItem): void {
     this.events.push(event);
     if (this.events.length > EVENT_LOG_LIMIT)
       this.events.splice(0, this.events.length - EVENT_LOG_LIMIT);
@@ -149,7 +150,7 @@
       .filter((w) => event.key.startsWith(w.prefix) && event.modRevision > w.after)
       .forEach((w) => {
         this.waiters.delete(w);
-        w.wake();
+        w.notify();
       });
   }
 }
