--- a/packages/member-list/src/protocol.ts
+++ b/packages/member-list/src/protocol.ts
@@ -1,13 +1,13 @@
 /**
- * Wire messages of the platform's member list: which target instances are
- * live and which are leaving. The platform publishes the list with a lag, so
- * a reader may see a leaving target as live for a while.
+ * Messages of the platform's member list, which tells the state of every
+ * target. The platform publishes the list with a delay, so a reader may see a
+ * target as live for a while after it started leaving.
  */
 
-/** Whether a target takes new work (`live`) or is draining (`leaving`). */
+/** Whether a target accepts new requests (`live`) or is draining (`leaving`). */
 export type MemberState = 'live' | 'leaving';
 
-/** One target instance as the member list describes it. */
+/** A target in the member list. */
 export interface Member {
   id: string;
   service: string;
@@ -15,16 +15,16 @@
   failureDomain: string;
   /** `host:port` of the target's http listener. */
   address: string;
-  /** Requests it can work on at once. */
+  /** Number of requests that it can process concurrently. */
   slots: number;
   state: MemberState;
 }
 
 /**
- * Answer to `GET /v1/members`: the list as of `asOf` (ms since epoch) and
- * its `version`. With `?since=<version>` of the list the reader already has,
- * an unchanged list is answered `{ unchanged: true, version, asOf }` with
- * no members: a poll then costs a few bytes instead of the whole list.
+ * Response to `GET /v1/members`: the list as of `asOf` (ms since epoch) and
+ * its `version`. With `?since=<version>`, the response to an unchanged list is
+ * `{ unchanged: true, version, members: [], asOf }`, so that a poll transfers
+ * a few bytes instead of the whole list.
  */
 export interface MembersReply {
   version: number;
--- a/packages/member-list/src/server/__tests__/standin.test.ts
+++ b/packages/member-list/src/server/__tests__/standin.test.ts
@@ -21,7 +21,7 @@
   slots: 9,
   state: 'live',
 };
-const value = async <T>(result: PromiseLike<Result<T, Failure>>): Promise<T> =>
+const unwrap = async <T>(result: PromiseLike<Result<T, Failure>>): Promise<T> =>
   (await result).match(
     (v) => v,
     (e) => {
@@ -45,14 +45,14 @@
 });
 
 describe('member list stand-in', () => {
-  it('answers a poll for the version held with "unchanged", and a change with the whole list', async () => {
+  it('responds "unchanged" to a poll with the current version, and with the whole list after a change', async () => {
     await client.announce(member);
     await sleep(60);
-    const first = await value(client.list());
-    const same = await value(client.list(first.version));
+    const first = await unwrap(client.list());
+    const same = await unwrap(client.list(first.version));
     await client.announce({ ...member, state: 'leaving' });
     await sleep(60);
-    const changed = await value(client.list(first.version));
+    const changed = await unwrap(client.list(first.version));
     expect([
       first.members.length,
       same.unchanged,
--- a/packages/member-list/src/server/standin.ts
+++ b/packages/member-list/src/server/standin.ts
@@ -1,30 +1,30 @@
 /**
- * The member-list stand-in. Targets announce themselves with
- * `PUT /v1/members/:id` and leave with a `state: leaving` update or
- * `DELETE`; readers get a snapshot taken every `lagMs`, so they see changes
- * late, as on the platform.
+ * Stand-in of the platform's member list. Targets announce themselves with
+ * `PUT /v1/members/:id` and leave with an update to `state: leaving` or with
+ * `DELETE`. Readers get a snapshot taken every `lagMs`, so they see changes
+ * with a delay, as on the platform.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { readJson, sendJson } from '@cardamomladder/http-json';
 import type { Member, MembersReply } from '../protocol';
 
-/** A mounted member-list stand-in. */
+/** A member-list stand-in. */
 export interface MemberListStandin {
-  /** The list as targets last told it, before the lag. */
+  /** The current members by id; published with a delay. */
   current: Map<string, Member>;
-  /** Handles the request if it is for `/v1/members`; false otherwise. */
+  /** Handles the request if it is for `/v1/members`; returns false otherwise. */
   handle: (req: IncomingMessage, res: ServerResponse) => boolean;
-  /** Requests served, for the capacity bench. */
+  /** Number of list requests served, for the capacity benchmark. */
   reads: () => number;
   stop: () => void;
 }
 
-/** Creates the stand-in; `lagMs` is how stale the published list may be. */
+/** Creates a member-list stand-in; `lagMs` is the interval at which the list is published. */
 export const createMemberListStandin = (lagMs = 1000): MemberListStandin => {
   const current = new Map<string, Member>();
   let version = 0;
   let published: MembersReply = { version, members: [], asOf: Date.now() };
-  let served = 0;
+  let readCount = 0;
   const publish = () => {
     if (published.version === version) {
       published = { ...published, asOf: Date.now() };
@@ -39,7 +39,7 @@
     const path = url.pathname;
     const id = /^\/v1\/members\/([^/]+)$/.exec(path)?.[1];
     if (path === '/v1/members' && req.method === 'GET') {
-      served += 1;
+      readCount += 1;
       const since = Number(url.searchParams.get('since') ?? 'NaN');
       if (since === published.version) {
         sendJson(res, 200, {
@@ -77,5 +77,5 @@
     return true;
   };
 
-  return { current, handle, reads: () => served, stop: () => clearInterval(timer) };
+  return { current, handle, reads: () => readCount, stop: () => clearInterval(timer) };
 };
