--- a/packages/callers/src/client.ts
+++ b/packages/callers/src/client.ts
@@ -1,13 +1,13 @@
 /**
- * A caller as the brief describes one: it learns the entries from any entry
- * it knows, caches the list, and sends requests to an entry of its own
- * failure domain over Node http with keep-alive. The load tool runs many.
+ * Client side of the caller protocol: discovers the entry instances from a
+ * known one and sends requests to them over Node http with keep-alive. The
+ * load generator runs many callers.
  */
 import { Agent, request } from 'node:http';
 import type { EntriesReply, EntryAddress, Outcome } from './protocol';
 import { IDEMPOTENCY_KEY_HEADER, OUTCOME_HEADER } from './protocol';
 
-/** The result of one caller request, as the caller measures it. */
+/** Result of one request, as measured by the caller. */
 export interface CallResult {
   status: number;
   outcome: Outcome | 'transport';
@@ -16,7 +16,7 @@
   retryAfterS?: number;
 }
 
-/** Fetches the entry list from an entry at `seed` (`host:port`). */
+/** Fetches the list of entry instances from the one at `seed` (`host:port`). */
 export const discoverEntries = async (
   seed: string,
   failureDomain?: string,
@@ -27,12 +27,12 @@
   });
   if (!reply.ok)
     throw new Error(
-      `entry ${seed} answered ${reply.status} to /v1/entries; try another seed entry`,
+      `entry ${seed} responded with status ${reply.status} to /v1/entries; try another seed entry`,
     );
   return (await reply.json()) as EntriesReply;
 };
 
-/** A caller bound to a set of entries. */
+/** A caller that sends each request to a random one of its entry instances. */
 export class Caller {
   private readonly agent = new Agent({ keepAlive: true, maxSockets: 64 });
 
@@ -41,19 +41,19 @@
     private readonly random: () => number = Math.random,
   ) {}
 
-  /** Replaces the entries this caller uses. */
-  useEntries(entries: EntryAddress[]): void {
+  /** Replaces the entry instances that this caller uses. */
+  setEntries(entries: EntryAddress[]): void {
     this.entries = entries;
   }
 
-  /** Sends one request to `service` and reads the whole answer. */
+  /** Sends one request to `service` and reads the whole response. */
   call(
     service: string,
     options: { method?: string; body?: string; key?: string; path?: string } = {},
   ): Promise<CallResult> {
     const entry = this.entries[Math.floor(this.random() * this.entries.length)];
     const [host, port] = entry.address.split(':');
-    const started = performance.now();
+    const startedAt = performance.now();
     const body = Buffer.from(options.body ?? '');
     return new Promise((resolve) => {
       const req = request(
@@ -79,7 +79,7 @@
               status: res.statusCode ?? 0,
               outcome: (res.headers[OUTCOME_HEADER] as Outcome | undefined) ?? 'ok',
               bytes,
-              latencyMs: performance.now() - started,
+              latencyMs: performance.now() - startedAt,
               retryAfterS: Number.isFinite(retryAfter) ? retryAfter : undefined,
             });
           });
@@ -88,7 +88,7 @@
               status: 0,
               outcome: 'transport',
               bytes,
-              latencyMs: performance.now() - started,
+              latencyMs: performance.now() - startedAt,
             }),
           );
         },
@@ -98,7 +98,7 @@
           status: 0,
           outcome: 'transport',
           bytes: 0,
-          latencyMs: performance.now() - started,
+          latencyMs: performance.now() - startedAt,
         }),
       );
       req.end(body);
--- a/packages/callers/src/protocol.ts
+++ b/packages/callers/src/protocol.ts
@@ -1,16 +1,17 @@
 /**
  * The protocol between callers (caretakers' apps, kiosks) and entry
- * instances, over plain HTTP. There is no balancer in front of the entries:
- * a caller asks any entry it knows for the list, caches it for `ttlMs`, and
- * sends its requests to an entry of its own failure domain.
+ * instances, over plain HTTP. There is no load balancer in front of the entry
+ * instances: a caller gets the list from any one that it knows, caches it for
+ * `ttlMs` and sends its requests to an entry instance in its own failure
+ * domain.
  *
  * - `GET /v1/entries?failureDomain=rvk-a` -> `EntriesReply`
- * - `<METHOD> /s/<service>/<path>` -> the target's answer, or a refusal
- *   (`ErrorReply`) with `x-outcome` and, where asking again makes sense,
- *   `retry-after` in seconds.
+ * - `<METHOD> /s/<service>/<path>` -> the target's response, or an error
+ *   response of the entry instance (`ErrorReply`) with `x-outcome` and, if a
+ *   retry may succeed, `retry-after` in seconds.
  */
 
-/** One entry instance a caller may use. */
+/** An entry instance that a caller may use. */
 export interface EntryAddress {
   id: string;
   address: string;
@@ -18,34 +19,34 @@
   region: string;
 }
 
-/** Answer to `GET /v1/entries`: entries of the asked failure domain first. */
+/** Response to `GET /v1/entries`: entry instances in the requested failure domain come first. */
 export interface EntriesReply {
   entries: EntryAddress[];
   ttlMs: number;
 }
 
 /**
- * Answer header: what became of the request.
- * `ok`: a target answered (any status). `not-run`: no target ran it; safe to
- * send again. `unknown`: a non-idempotent request may have run; ask the
- * service before sending it again.
+ * Response header: the outcome of the request.
+ * `ok`: a target responded (with any status). `not-run`: no target processed
+ * the request, so a retry is safe. `unknown`: a non-idempotent request may have
+ * been processed; check with the service before a retry.
  */
 export const OUTCOME_HEADER = 'x-outcome';
-/** Answer header: which target answered. */
+/** Response header: the target that responded. */
 export const SERVED_BY_HEADER = 'x-served-by';
-/** Answer header: how many attempts the entry made. */
+/** Response header: the number of attempts that the entry instance made. */
 export const ATTEMPTS_HEADER = 'x-attempts';
-/** Request header: the caller's key for a non-idempotent request; the same key means the same request. */
+/** Request header: the idempotency key of a non-idempotent request; requests with the same key are the same request. */
 export const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
 
-/** What became of a request, as `x-outcome` says. */
+/** Outcome of a request, the value of `x-outcome`. */
 export type Outcome = 'ok' | 'not-run' | 'unknown';
 
-/** Body of every refusal an entry makes itself. */
+/** Body of an error response that the entry instance itself generates. */
 export interface ErrorReply {
   error: string;
   message: string;
 }
 
-/** Largest request body an entry accepts; bookings and arrivals are small. */
+/** Maximum size of a request body in bytes; bookings and arrivals are small. */
 export const MAX_REQUEST_BYTES = 64 * 1024;
