--- a/packages/console/src/apply.ts
+++ b/packages/console/src/apply.ts
@@ -1,10 +1,10 @@
 /**
- * Applying an operators' document. The operator edits from the revision they
- * loaded; apply writes revision + 1 with compare-and-swap on the key's store
- * revision, so of two volunteers racing from the same revision exactly one
- * wins and the other is told to reload. A reply lost after the write took
- * effect is resolved by reading the key back: if our text is there, the
- * change happened.
+ * Applies a document that an operator edited. The document carries the
+ * revision that was loaded; it is written as revision + 1 with a
+ * compare-and-swap on the key's store revision. Of two operators who edit the
+ * same revision concurrently, exactly one succeeds and the other must reload.
+ * If the response to the write is lost, the key is read back: if it holds the
+ * written text, the change was applied.
  */
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
@@ -15,46 +15,47 @@
 import type { Failure, RegionName } from '@cardamomladder/types';
 import { failure } from '@cardamomladder/types';
 
-/** Key of the operators' document unless settings say otherwise. */
+/** Default key of the operators' document. */
 export const DOCUMENT_KEY = 'cardamomladder/document';
 
-/** Result of an apply: the revision now in the store. */
-export interface Applied {
+/** Result of `applyDocument`: the applied revision, its store revision and the number of attempts. */
+export interface ApplyResult {
   revision: number;
   storeRevision: number;
   attempts: number;
 }
 
-const UNAVAILABLE_TRIES = 5;
+const MAX_ATTEMPTS = 5;
 
-const splitOf = (shares: Record<string, number>) =>
+const normalizeShares = (shares: Record<string, number>) =>
   normalize(new Map(Object.entries(shares) as [RegionName, number][]));
 
 /**
- * Adds planned-shift records: for every service whose shares changed, the
- * split it starts from (where the previous shift stood now) and the time.
+ * Adds a planned shift to every service whose shares changed: the start time
+ * and the initial split, which is the point that the previous shift has
+ * reached by `now`.
  */
-export const withShifts = (
+export const withPlannedShifts = (
   next: Document,
   previous: Document | undefined,
   now: number,
 ): Document => ({
   ...next,
   services: next.services.map((service) => {
-    const before = previous?.services.find((s) => s.name === service.name);
-    if (!before) return { ...service, shift: undefined };
-    const standing = before.shift
+    const previousService = previous?.services.find((s) => s.name === service.name);
+    if (!previousService) return { ...service, shift: undefined };
+    const currentSplit = previousService.shift
       ? scheduled(
-          splitOf(before.shift.from),
-          splitOf(before.shares),
-          before.shift.startedAt,
-          before.maxShiftPerMinute,
+          normalizeShares(previousService.shift.from),
+          normalizeShares(previousService.shares),
+          previousService.shift.startedAt,
+          previousService.maxShiftPerMinute,
           now,
         )
-      : splitOf(before.shares);
-    if (distance(standing, splitOf(service.shares)) < 1e-9)
-      return { ...service, shift: before.shift };
-    return { ...service, shift: { from: Object.fromEntries(standing), startedAt: now } };
+      : normalizeShares(previousService.shares);
+    if (distance(currentSplit, normalizeShares(service.shares)) < 1e-9)
+      return { ...service, shift: previousService.shift };
+    return { ...service, shift: { from: Object.fromEntries(currentSplit), startedAt: now } };
   }),
 });
 
@@ -65,66 +66,67 @@
 
 /**
  * Validates `input` and writes it as the next revision after `input.revision`.
- * Errors: `document-invalid`, `document-stale` (someone applied since),
- * `store-unavailable` (nothing written, after retries).
+ * Errors: `document-invalid`, `document-stale` (another revision was applied
+ * since), `store-unavailable` (still unavailable after retries).
  */
 export const applyDocument = async (
   kv: KvClient,
   input: DocumentInput,
   options: { key?: string; now?: () => number; backoffMs?: number } = {},
-): Promise<Result<Applied, Failure>> => {
+): Promise<Result<ApplyResult, Failure>> => {
   const key = options.key ?? DOCUMENT_KEY;
   const now = options.now ?? Date.now;
   const backoffMs = options.backoffMs ?? 100;
-  const checked = validateDocument(input);
-  if (checked.isErr()) return err(checked.error);
-  const base = checked.value.revision;
-  let written: string | undefined;
+  const validated = validateDocument(input);
+  if (validated.isErr()) return err(validated.error);
+  const baseRevision = validated.value.revision;
+  let writtenText: string | undefined;
   for (let attempt = 1; ; attempt += 1) {
-    const read = await kv.get(key);
-    if (read.isErr()) {
-      if (attempt >= UNAVAILABLE_TRIES) return err(read.error);
+    const readResult = await kv.get(key);
+    if (readResult.isErr()) {
+      if (attempt >= MAX_ATTEMPTS) return err(readResult.error);
       await sleep(backoffMs * 2 ** attempt);
       continue;
     }
-    const item = read.value;
-    if (written !== undefined && item?.value === written) {
-      return ok({ revision: base + 1, storeRevision: item.modRevision, attempts: attempt });
+    const item = readResult.value;
+    if (writtenText !== undefined && item?.value === writtenText) {
+      return ok({ revision: baseRevision + 1, storeRevision: item.modRevision, attempts: attempt });
     }
     const current = item?.value ? parseDocument(item.value) : undefined;
     const currentRevision = current?.isOk() ? current.value.revision : 0;
-    if (currentRevision !== base) {
+    if (currentRevision !== baseRevision) {
       return err(
         failure(
           'document-stale',
-          `revision ${currentRevision} was applied since you loaded revision ${base}; reload the document, redo your change and apply again`,
+          `revision ${currentRevision} was applied since you loaded revision ${baseRevision}; reload the document, redo the change and apply it again`,
           { currentRevision },
         ),
       );
     }
-    const next = withShifts(
-      { ...checked.value, revision: base + 1 },
+    const next = withPlannedShifts(
+      { ...validated.value, revision: baseRevision + 1 },
       current?.isOk() ? current.value : undefined,
       now(),
     );
-    written = JSON.stringify(next);
-    const put = await kv.put(key, written, { expectRevision: item?.modRevision ?? 0 });
-    if (put.isOk()) return ok({ revision: base + 1, storeRevision: put.value, attempts: attempt });
-    if (put.error.kind === 'store-outcome-unknown') continue;
-    if (put.error.kind === 'store-conflict') continue;
-    if (attempt >= UNAVAILABLE_TRIES) return err(put.error);
+    writtenText = JSON.stringify(next);
+    const putResult = await kv.put(key, writtenText, { expectRevision: item?.modRevision ?? 0 });
+    if (putResult.isOk())
+      return ok({ revision: baseRevision + 1, storeRevision: putResult.value, attempts: attempt });
+    if (putResult.error.kind === 'store-outcome-unknown') continue;
+    if (putResult.error.kind === 'store-conflict') continue;
+    if (attempt >= MAX_ATTEMPTS) return err(putResult.error);
     await sleep(backoffMs * 2 ** attempt);
   }
 };
 
-/** Reads the document in force; null when none was applied yet. */
+/** Reads the current document; null if none has been applied yet. */
 export const readDocument = async (
   kv: KvClient,
   key = DOCUMENT_KEY,
 ): Promise<Result<Document | null, Failure>> => {
-  const read = await kv.get(key);
-  if (read.isErr()) return err(read.error);
-  if (!read.value?.value) return ok(null);
-  const parsed = parseDocument(read.value.value);
+  const readResult = await kv.get(key);
+  if (readResult.isErr()) return err(readResult.error);
+  if (!readResult.value?.value) return ok(null);
+  const parsed = parseDocument(readResult.value.value);
   return parsed.isOk() ? ok(parsed.value) : err(parsed.error);
 };
--- a/packages/console/src/index.ts
+++ b/packages/console/src/index.ts
@@ -1,2 +1,2 @@
-export type { Applied } from './apply';
-export { DOCUMENT_KEY, applyDocument, readDocument, withShifts } from './apply';
+export type { ApplyResult } from './apply';
+export { DOCUMENT_KEY, applyDocument, readDocument, withPlannedShifts } from './apply';
