--- a/packages/soak/src/__tests__/faultProxy.test.ts
+++ b/packages/soak/src/__tests__/faultProxy.test.ts
@@ -1,4 +1,4 @@
-/** The proxy harms as it says: what an end sees under each harm. */
+/** What both ends of a connection observe under each fault of the proxy. */
 import { once } from 'node:events';
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { connect, createServer } from 'node:net';
@@ -10,43 +10,43 @@
 const WAIT_MS = 300;
 
 let echo: Server;
-let arrived: string;
+let received: string;
 let proxy: FaultProxy;
 
-const begin = (): Socket => {
+const startConnecting = (): Socket => {
   const [host, port] = proxy.address.split(':');
   const socket = connect(Number(port), host);
   socket.on('error', () => {});
   return socket;
 };
-const open = async (): Promise<Socket> => {
-  const socket = begin();
+const connectThroughProxy = async (): Promise<Socket> => {
+  const socket = startConnecting();
   await once(socket, 'connect');
   return socket;
 };
-/** Resolves when the connection has ended, by a reset or in order. */
+/** Resolves when the connection has been closed or reset. */
 const closed = (socket: Socket): Promise<void> =>
   new Promise((resolve) => {
     if (socket.closed) resolve();
     else socket.once('close', () => resolve());
   });
-/** What comes back within the wait. */
-const say = async (socket: Socket, text: string): Promise<string> => {
-  let heard = '';
+/** Sends a text and returns what arrives within `WAIT_MS`. */
+const sendAndCollect = async (socket: Socket, text: string): Promise<string> => {
+  let collected = '';
   socket.on('data', (chunk: Buffer) => {
-    heard += chunk.toString();
+    collected += chunk.toString();
   });
   socket.write(text);
   await sleep(WAIT_MS);
-  return heard;
+  return collected;
 };
 
 beforeEach(async () => {
-  arrived = '';
+  received = '';
   echo = createServer((socket) => {
     socket.on('error', () => {});
     socket.on('data', (chunk: Buffer) => {
-      arrived += chunk.toString();
+      received += chunk.toString();
       socket.write(chunk);
     });
   });
@@ -60,51 +60,51 @@
   echo.close();
 });
 
-describe('the harming proxy', () => {
-  it('passes all on, and late under delay', async () => {
-    const socket = await open();
-    expect(await say(socket, 'a')).toBe('a');
-    proxy.harm('delay');
-    const began = performance.now();
+describe('startFaultProxy', () => {
+  it('forwards all data, and delays it under "delay"', async () => {
+    const socket = await connectThroughProxy();
+    expect(await sendAndCollect(socket, 'a')).toBe('a');
+    proxy.setFault('delay');
+    const startedAt = performance.now();
     const echoed = once(socket, 'data');
     socket.write('b');
     await echoed;
-    expect(performance.now() - began).toBeGreaterThan(200);
+    expect(performance.now() - startedAt).toBeGreaterThan(200);
   });
 
-  it('passes nothing while silent, and all of it afterwards', async () => {
-    const socket = await open();
-    proxy.harm('silent');
-    expect(await say(socket, 'a')).toBe('');
-    expect(arrived).toBe('');
-    proxy.harm('none');
+  it('forwards nothing under "silent", and the deferred data afterwards', async () => {
+    const socket = await connectThroughProxy();
+    proxy.setFault('silent');
+    expect(await sendAndCollect(socket, 'a')).toBe('');
+    expect(received).toBe('');
+    proxy.setFault('none');
     await sleep(WAIT_MS);
-    expect(arrived).toBe('a');
+    expect(received).toBe('a');
   });
 
-  it('passes only the way there when cut one way', async () => {
-    const socket = await open();
-    proxy.harm('one-way');
-    expect(await say(socket, 'a')).toBe('');
-    expect(arrived).toBe('a');
+  it('forwards data only from the client under "one-way"', async () => {
+    const socket = await connectThroughProxy();
+    proxy.setFault('one-way');
+    expect(await sendAndCollect(socket, 'a')).toBe('');
+    expect(received).toBe('a');
   });
 
-  it('leaves old connections silent for good, while new ones work', async () => {
-    const old = await open();
-    expect(await say(old, 'a')).toBe('a');
-    proxy.harm('old-silent');
-    expect(await say(await open(), 'b')).toBe('b');
-    proxy.harm('none');
-    expect(await say(old, 'c')).toBe('');
-    expect(arrived).toBe('ab');
+  it('stops forwarding on open connections for good under "old-silent", while new ones work', async () => {
+    const old = await connectThroughProxy();
+    expect(await sendAndCollect(old, 'a')).toBe('a');
+    proxy.setFault('old-silent');
+    expect(await sendAndCollect(await connectThroughProxy(), 'b')).toBe('b');
+    proxy.setFault('none');
+    expect(await sendAndCollect(old, 'c')).toBe('');
+    expect(received).toBe('ab');
   });
 
-  it('resets what is open, and what comes while it refuses', async () => {
-    const socket = await open();
+  it('resets open connections, and new ones under "refuse"', async () => {
+    const socket = await connectThroughProxy();
     proxy.resetAll();
     await closed(socket);
-    proxy.harm('refuse');
-    await closed(begin());
-    expect(arrived).toBe('');
+    proxy.setFault('refuse');
+    await closed(startConnecting());
+    expect(received).toBe('');
   });
 });
--- a/packages/soak/src/faultProxy.ts
+++ b/packages/soak/src/faultProxy.ts
@@ -1,92 +1,97 @@
-/** A TCP proxy on loopback that harms what passes through it, from outside both ends. */
+/** A TCP proxy on loopback that injects network faults between two unmodified processes. */
 import type { AddressInfo, Socket } from 'node:net';
 import { connect, createServer } from 'node:net';
 
 /**
- * `delay`: every piece comes late. `silent`: nothing passes, new connections
- * hang. `one-way`: only the caller's bytes pass. `refuse`: new connections are
- * reset. `old-silent`: connections that are open now stay silent for good, new
- * ones work.
+ * `delay`: every chunk is delayed. `silent`: no data is forwarded, new
+ * connections hang. `one-way`: only the client's data is forwarded. `refuse`:
+ * new connections are reset. `old-silent`: connections open now never forward
+ * data again, new ones work.
  */
-export type Harm = 'none' | 'delay' | 'silent' | 'one-way' | 'refuse' | 'old-silent';
+export type ProxyFault = 'none' | 'delay' | 'silent' | 'one-way' | 'refuse' | 'old-silent';
 
-/** A running proxy. */
 export interface FaultProxy {
   address: string;
-  /** Where new connections go, as host and port. */
+  /** Sets the address to which new connections are forwarded. */
   setTarget: (host: string, port: number) => void;
-  harm: (harm: Harm) => void;
+  setFault: (fault: ProxyFault) => void;
   /** Resets all open connections. */
   resetAll: () => void;
   close: () => Promise<void>;
 }
 
-/** How late each piece is under `delay`, ms. */
+/** Delay of each chunk under `delay`, ms. */
 const DELAY_MS = 120;
 
-interface Pair {
-  near: Socket;
-  far: Socket;
-  /** Silent for good. */
-  dead: boolean;
+interface ProxiedConnection {
+  client: Socket;
+  upstream: Socket;
+  /** True if no data is forwarded any more. */
+  stalled: boolean;
 }
 
 /** Starts a proxy on a free loopback port. */
 export const startFaultProxy = async (): Promise<FaultProxy> => {
-  let current: Harm = 'none';
-  let target = { host: '127.0.0.1', port: 0 };
-  const pairs = new Set<Pair>();
-  /** Bytes held back while nothing passes, to be sent once it ends. */
-  const held: (() => void)[] = [];
+  let current: ProxyFault = 'none';
+  let upstreamAddress = { host: '127.0.0.1', port: 0 };
+  const connections = new Set<ProxiedConnection>();
+  /** Writes and new connections deferred by a fault, carried out when it ends. */
+  const deferred: (() => void)[] = [];
 
-  const pass = (pair: Pair, to: Socket, towardsCaller: boolean, chunk: Buffer): void => {
+  const forward = (
+    connection: ProxiedConnection,
+    to: Socket,
+    toClient: boolean,
+    chunk: Buffer,
+  ): void => {
     const write = () => {
       if (!to.destroyed) to.write(chunk);
     };
-    if (pair.dead) return;
-    if (current === 'silent' || (current === 'one-way' && towardsCaller)) held.push(write);
+    if (connection.stalled) return;
+    if (current === 'silent' || (current === 'one-way' && toClient)) deferred.push(write);
     else if (current === 'delay') setTimeout(write, DELAY_MS);
     else write();
   };
-  const join = (near: Socket): void => {
-    const far = connect(target);
-    const pair: Pair = { near, far, dead: false };
-    pairs.add(pair);
-    near.on('data', (chunk: Buffer) => pass(pair, far, false, chunk));
-    far.on('data', (chunk: Buffer) => pass(pair, near, true, chunk));
-    const end = (other: Socket) => () => {
-      pairs.delete(pair);
-      if (!pair.dead) setTimeout(() => other.destroy(), current === 'delay' ? DELAY_MS : 0);
+  const openUpstream = (client: Socket): void => {
+    const upstream = connect(upstreamAddress);
+    const connection: ProxiedConnection = { client, upstream, stalled: false };
+    connections.add(connection);
+    client.on('data', (chunk: Buffer) => forward(connection, upstream, false, chunk));
+    upstream.on('data', (chunk: Buffer) => forward(connection, client, true, chunk));
+    const closeOther = (peer: Socket) => () => {
+      connections.delete(connection);
+      if (!connection.stalled) setTimeout(() => peer.destroy(), current === 'delay' ? DELAY_MS : 0);
     };
-    near.on('error', () => far.resetAndDestroy());
-    far.on('error', () => near.resetAndDestroy());
-    near.on('close', end(far));
-    far.on('close', end(near));
+    client.on('error', () => upstream.resetAndDestroy());
+    upstream.on('error', () => client.resetAndDestroy());
+    client.on('close', closeOther(upstream));
+    upstream.on('close', closeOther(client));
   };
-  const server = createServer((near) => {
-    if (current === 'refuse') near.resetAndDestroy();
-    else if (current === 'silent') held.push(() => join(near));
-    else join(near);
-    near.on('error', () => {});
+  const server = createServer((client) => {
+    if (current === 'refuse') client.resetAndDestroy();
+    else if (current === 'silent') deferred.push(() => openUpstream(client));
+    else openUpstream(client);
+    client.on('error', () => {});
   });
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
   });
   const resetAll = (): void =>
-    pairs.forEach(({ near, far }) => {
-      near.resetAndDestroy();
-      far.resetAndDestroy();
+    connections.forEach(({ client, upstream }) => {
+      client.resetAndDestroy();
+      upstream.resetAndDestroy();
     });
 
   return {
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
     setTarget: (host, port) => {
-      target = { host, port };
+      upstreamAddress = { host, port };
     },
-    harm: (harm) => {
-      current = harm;
-      if (harm === 'old-silent') pairs.forEach((pair) => Object.assign(pair, { dead: true }));
-      if (harm !== 'silent' && harm !== 'one-way') held.splice(0).forEach((send) => send());
+    setFault: (fault) => {
+      current = fault;
+      if (fault === 'old-silent')
+        connections.forEach((connection) => Object.assign(connection, { stalled: true }));
+      if (fault !== 'silent' && fault !== 'one-way') deferred.splice(0).forEach((send) => send());
     },
     resetAll,
     close: () =>
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,8 +1,14 @@
-export type { FaultProxy, Harm } from './faultProxy';
+export type { FaultProxy, ProxyFault } from './faultProxy';
 export { startFaultProxy } from './faultProxy';
 export type { PlannedFault } from './plan';
 export { FAULT_KINDS, planFaults } from './plan';
-export type { Answer, Asked, RequestKind, RunSeen, Violation } from './promises';
-export { Promises, STORE, storePathOf } from './promises';
-export { SelfReports } from './selfReports';
-export { Disturbances } from './disturbances';
+export type {
+  ReceivedResponse,
+  SentRequest,
+  RequestKind,
+  ObservedRun,
+  Violation,
+} from './guarantees';
+export { GuaranteeChecker, STORE, storePathOf } from './guarantees';
+export { TargetSignalChecker } from './targetSignals';
+export { FaultHistory } from './faultHistory';
--- a/packages/soak/src/plan.ts
+++ b/packages/soak/src/plan.ts
@@ -1,7 +1,6 @@
-/** Seeded plans: which fault begins when, for how long, and on which of several. */
+/** Fault plans drawn from a seed: kind, start, duration and affected component of each fault. */
 import { seeded } from '@cardamomladder/load';
 
-/** Every kind of fault that a soak injects. */
 export const FAULT_KINDS = [
   'instance-paused',
   'instance-killed',
@@ -37,34 +36,35 @@
   'store-restored',
 ] as const;
 
-/** One planned fault. */
 export interface PlannedFault {
   kind: (typeof FAULT_KINDS)[number];
   atMs: number;
   forMs: number;
-  /** From 0 to 1: which of the things that can have it. */
+  /** From 0 to 1: selects one of the components that the fault can affect. */
   which: number;
 }
 
-/** Mean time between the starts of two faults, ms: two or three overlap at most times. */
-const BETWEEN_MS = 700;
-const SHORTEST_MS = 300;
-const LONGEST_MS = 3000;
-/** Part of the faults that follow another of their kind at once: faults come in series. */
-const SERIES_PART = 0.2;
+/** Mean time between the starts of two faults, ms; usually two or three faults overlap. */
+const MEAN_INTERVAL_MS = 700;
+const MIN_DURATION_MS = 300;
+const MAX_DURATION_MS = 3000;
+/** Probability that a fault repeats the kind of the previous one, because faults often come in series. */
+const REPEAT_PROBABILITY = 0.2;
 
-/** The faults of a seed, in order, all over by `lengthMs`. */
-export const planFaults = (seed: number, lengthMs: number): PlannedFault[] => {
+/** Returns the faults of a seed in the order of their starts; all end by `totalMs`. */
+export const planFaults = (seed: number, totalMs: number): PlannedFault[] => {
   const random = seeded(seed);
   const plan: PlannedFault[] = [];
-  let at = random() * BETWEEN_MS;
-  while (at < lengthMs - SHORTEST_MS) {
-    const before = plan.at(-1);
-    const series = before && random() < SERIES_PART;
-    const kind = series ? before.kind : FAULT_KINDS[Math.floor(random() * FAULT_KINDS.length)];
-    const wanted = SHORTEST_MS + random() * (LONGEST_MS - SHORTEST_MS);
-    plan.push({ kind, atMs: at, forMs: Math.min(wanted, lengthMs - at), which: random() });
-    at += -Math.log(1 - random()) * BETWEEN_MS;
+  let at = random() * MEAN_INTERVAL_MS;
+  while (at < totalMs - MIN_DURATION_MS) {
+    const previous = plan.at(-1);
+    const repeatsPrevious = previous && random() < REPEAT_PROBABILITY;
+    const kind = repeatsPrevious
+      ? previous.kind
+      : FAULT_KINDS[Math.floor(random() * FAULT_KINDS.length)];
+    const durationMs = MIN_DURATION_MS + random() * (MAX_DURATION_MS - MIN_DURATION_MS);
+    plan.push({ kind, atMs: at, forMs: Math.min(durationMs, totalMs - at), which: random() });
+    at += -Math.log(1 - random()) * MEAN_INTERVAL_MS;
   }
   return plan;
 };
