--- a/packages/bench/src/customers.ts
+++ b/packages/bench/src/customers.ts
@@ -1,6 +1,6 @@
 /** CPU cost per request of identifying the customer by API key and of checking its rate limit. */
 import type { Customer } from '@cardamomladder/customers';
-import { Allowances, customerTable, identify } from '@cardamomladder/customers';
+import { LocalQuotas, customerTable, identify } from '@cardamomladder/customers';
 import { apiKey, customerName, instanceId } from '@cardamomladder/types';
 
 const REQUESTS = 200_000;
@@ -22,10 +22,10 @@
   const self = instanceId('i-1');
   const holders = { ids: [self], size: 1 };
   let now = 0;
-  const allowances = new Allowances({
+  const allowances = new LocalQuotas({
     self,
     tolerance: { windowMs: 5000, overage: 0.1, slack: 20 },
-    holders: () => holders,
+    sharers: () => holders,
     startedAt: 0,
     now: () => now,
   });
--- a/packages/bench/src/fleet.ts
+++ b/packages/bench/src/fleet.ts
@@ -9,7 +9,7 @@
 import { startEntry } from '@cardamomladder/entry';
 import { createMemberClient, createMemberListStandin } from '@cardamomladder/member-list';
 import { createKvClient, startPlatformStandin } from '@cardamomladder/platform-kv';
-import { validateSettings } from '@cardamomladder/settings';
+import { validateEntrySettings } from '@cardamomladder/settings';
 import { syntheticDocument, syntheticMembers } from './unitCosts';
 
 /** Measurements for one fleet size. */
@@ -54,7 +54,7 @@
   const heapBefore = process.memoryUsage().heapUsed;
   const entries: Entry[] = [];
   for (let i = 0; i < n; i += 1) {
-    const settings = validateSettings({
+    const settings = validateEntrySettings({
       id: `bench-${i}`,
       region: `region-${i % 3}`,
       failureDomain: `fd-${i % 3}-a`,
--- a/packages/bench/src/unitCosts.ts
+++ b/packages/bench/src/unitCosts.ts
@@ -3,7 +3,7 @@
  * CPU per steering decision, per applied document and per member-list poll;
  * heap bytes per target view and per stored idempotency key.
  */
-import { Dedup, Fleet } from '@cardamomladder/entry';
+import { DedupCache, Fleet } from '@cardamomladder/entry';
 import type { DocumentInput } from '@cardamomladder/document';
 import { parseDocument } from '@cardamomladder/document';
 import type { Member } from '@cardamomladder/member-list';
@@ -141,11 +141,11 @@
 /** Heap bytes per stored idempotency key with a 200-byte response. */
 export const bytesPerDedupKey = (count: number): number => {
   const before = heapAfterGc();
-  const dedup = new Dedup({ ttlMs: 3_600_000, maxKeys: count * 2 });
+  const dedup = new DedupCache({ ttlMs: 3_600_000, maxKeys: count * 2 });
   for (let i = 0; i < count; i += 1) {
     const key = requestKey(`booking-${i}-${'x'.repeat(20)}`);
     dedup.claim(key);
-    dedup.finish(key, {
+    dedup.complete(key, {
       status: 200,
       headers: { 'content-type': 'application/json' },
       body: Buffer.alloc(200),
--- a/packages/callers/src/client.ts
+++ b/packages/callers/src/client.ts
@@ -49,7 +49,7 @@
   /** Sends one request to `service` and reads the whole response. */
   call(
     service: string,
-    options: { method?: string; body?: string; key?: string; path?: string } = {},
+    options: { method?: string; body?: string; idempotencyKey?: string; path?: string } = {},
   ): Promise<CallResult> {
     const entry = this.entries[Math.floor(this.random() * this.entries.length)];
     const [host, port] = entry.address.split(':');
@@ -65,7 +65,7 @@
           agent: this.agent,
           headers: {
             'content-length': body.length,
-            ...(options.key ? { [IDEMPOTENCY_KEY_HEADER]: options.key } : {}),
+            ...(options.idempotencyKey ? { [IDEMPOTENCY_KEY_HEADER]: options.idempotencyKey } : {}),
           },
         },
         (res) => {
--- a/packages/cli/src/__fixtures__/testCluster.ts
+++ b/packages/cli/src/__fixtures__/testCluster.ts
@@ -15,7 +15,7 @@
     {
       name: 'lookup',
       idempotent: true,
-      upstreams: 2,
+      targets: 2,
       slots: 4,
       serviceMs: 2,
       answerBytes: 200,
@@ -24,7 +24,7 @@
     {
       name: 'book',
       idempotent: false,
-      upstreams: 2,
+      targets: 2,
       slots: 4,
       serviceMs: 5,
       answerBytes: 100,
@@ -33,7 +33,7 @@
     {
       name: 'bundle',
       idempotent: true,
-      upstreams: 2,
+      targets: 2,
       slots: 2,
       serviceMs: 5,
       answerBytes: 2 * 1024 * 1024,
--- a/packages/cli/src/__tests__/badInput.test.ts
+++ b/packages/cli/src/__tests__/badInput.test.ts
@@ -5,8 +5,8 @@
  */
 import { describe, expect, it } from 'vitest';
 import { applyDocument } from '@cardamomladder/console';
-import { layoutDocument, parseDocument } from '@cardamomladder/document';
-import { validateSettings } from '@cardamomladder/settings';
+import { documentForLayout, parseDocument } from '@cardamomladder/document';
+import { validateEntrySettings } from '@cardamomladder/settings';
 import { sendRequest, tinyLayout, useCluster } from '../__fixtures__/testCluster';
 
 const cluster = useCluster({ memberLagMs: 200 });
@@ -59,7 +59,7 @@
     // an outage of every service.
     cluster().platform.kv.faults.down = true;
     const during = await sendRequest(cluster().entries[1].address, '/s/lookup/x');
-    const apply = await applyDocument(cluster().kv, layoutDocument(tinyLayout, 1), {
+    const apply = await applyDocument(cluster().kv, documentForLayout(tinyLayout, 1), {
       backoffMs: 1,
     });
     cluster().platform.kv.faults.down = false;
@@ -78,7 +78,7 @@
       }),
     );
     expect(document.isErr() && document.error.message).toMatchSnapshot();
-    const settings = validateSettings({
+    const settings = validateEntrySettings({
       id: 'e1',
       region: 'north',
       platform: { url: 'not a url' },
--- a/packages/cli/src/__tests__/commandLine.test.ts
+++ b/packages/cli/src/__tests__/commandLine.test.ts
@@ -1,6 +1,6 @@
 /** Unknown and missing command line arguments. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import { commandLine, runCommandLine } from '..';
+import { createCommandLine, runCommandLine } from '..';
 
 let errorLines: string[];
 
@@ -16,7 +16,7 @@
 });
 
 const run = (...args: string[]) => {
-  runCommandLine(commandLine(), ['node', 'cardamomladder', ...args]);
+  runCommandLine(createCommandLine(), ['node', 'cardamomladder', ...args]);
   return { code: process.exitCode, errorLines };
 };
 
--- a/packages/cli/src/__tests__/config.test.ts
+++ b/packages/cli/src/__tests__/config.test.ts
@@ -8,9 +8,9 @@
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 import { applyDocument } from '@cardamomladder/console';
 import type { DocumentInput } from '@cardamomladder/document';
-import { layoutDocument } from '@cardamomladder/document';
+import { documentForLayout } from '@cardamomladder/document';
 import type { ConfigState } from '@cardamomladder/entry';
-import { followConfig } from '@cardamomladder/entry';
+import { watchConfig } from '@cardamomladder/entry';
 import type { KvClient, PlatformStandin } from '@cardamomladder/platform-kv';
 import { createKvClient, startPlatformStandin } from '@cardamomladder/platform-kv';
 import { sleep, tinyLayout } from '../__fixtures__/testCluster';
@@ -28,7 +28,7 @@
 });
 
 const documentAt = (revision: number, north: number): DocumentInput => {
-  const doc = layoutDocument(tinyLayout, revision);
+  const doc = documentForLayout(tinyLayout, revision);
   return { ...doc, services: doc.services.map((s) => ({ ...s, shares: { north, south: 1 } })) };
 };
 
@@ -110,7 +110,7 @@
           Object.assign(platform.kv.faults, { down: false, delayMs: 0, loseReplies: 0 });
           await kv.delete(KEY);
           const followers = [0, 1, 2].map(() => {
-            const f = followConfig(kv, KEY, { waitMs: 1000 });
+            const f = watchConfig(kv, KEY, { waitMs: 1000 });
             const seen: number[] = [];
             f.state.subscribe((s) => seen.push(s.document?.revision ?? 0));
             return { follower: f, seen, state: () => f.state.value };
--- a/packages/cli/src/__tests__/processes.test.ts
+++ b/packages/cli/src/__tests__/processes.test.ts
@@ -12,7 +12,7 @@
 import { join } from 'node:path';
 import { build } from 'esbuild';
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
-import { layoutDocument, hraunvidd } from '@cardamomladder/document';
+import { documentForLayout, hraunvidd } from '@cardamomladder/document';
 
 const ROOT = join(import.meta.dirname, '../../../..');
 const BIN = join(ROOT, 'dist/cardamomladder.cjs');
@@ -104,7 +104,7 @@
       '9',
     ]);
     const doc = join(dir, 'document.json');
-    const full = layoutDocument(hraunvidd, 0);
+    const full = documentForLayout(hraunvidd, 0);
     await writeFile(
       doc,
       JSON.stringify({
--- a/packages/cli/src/commandLine.ts
+++ b/packages/cli/src/commandLine.ts
@@ -181,7 +181,7 @@
 };
 
 /** Creates the command line with all commands except `instance`. */
-export const commandLine = (): CAC => {
+export const createCommandLine = (): CAC => {
   const cli = cac('cardamomladder');
   [
     addEntryCommand,
--- a/packages/cli/src/commands/standin.ts
+++ b/packages/cli/src/commands/standin.ts
@@ -1,8 +1,8 @@
 /** `cardamomladder standin platform|target`: runs stand-ins for the platform or for targets. */
 import { createMemberClient, createMemberListStandin } from '@cardamomladder/member-list';
 import { startPlatformStandin } from '@cardamomladder/platform-kv';
-import type { Upstream } from '@cardamomladder/targets';
-import { startUpstream } from '@cardamomladder/targets';
+import type { TargetStandin } from '@cardamomladder/targets';
+import { startTargetStandin } from '@cardamomladder/targets';
 import { enableLogs } from '@cardamomladder/telemetry';
 
 const waitForTerminationSignal = () =>
@@ -48,10 +48,10 @@
 export const targetCommand = async (options: TargetCommandOptions): Promise<number> => {
   enableLogs(process.env.DEBUG ?? 'cardamomladder:*,-cardamomladder:trace');
   const members = createMemberClient(options.platform);
-  const upstreams: Upstream[] = [];
+  const upstreams: TargetStandin[] = [];
   for (let i = 0; i < options.count; i += 1) {
     upstreams.push(
-      await startUpstream({
+      await startTargetStandin({
         id: `${options.service}-${options.failureDomain}-${i}`,
         service: options.service,
         region: options.region,
--- a/packages/cli/src/demo/cluster.ts
+++ b/packages/cli/src/demo/cluster.ts
@@ -8,22 +8,22 @@
 import type { Entry } from '@cardamomladder/entry';
 import { startEntry } from '@cardamomladder/entry';
 import type { Document, Layout } from '@cardamomladder/document';
-import { layoutDocument, upstreamDomain } from '@cardamomladder/document';
+import { documentForLayout, failureDomainOfTarget } from '@cardamomladder/document';
 import { applyDocument } from '@cardamomladder/console';
 import type { MemberListStandin } from '@cardamomladder/member-list';
 import { createMemberClient, createMemberListStandin } from '@cardamomladder/member-list';
 import type { KvClient, PlatformStandin } from '@cardamomladder/platform-kv';
 import { createKvClient, startPlatformStandin } from '@cardamomladder/platform-kv';
-import { validateSettings } from '@cardamomladder/settings';
-import type { Upstream } from '@cardamomladder/targets';
-import { startUpstream } from '@cardamomladder/targets';
+import { validateEntrySettings } from '@cardamomladder/settings';
+import type { TargetStandin } from '@cardamomladder/targets';
+import { startTargetStandin } from '@cardamomladder/targets';
 
 /** A deployment running in this process. */
 export interface Cluster {
   platform: PlatformStandin;
   members: MemberListStandin;
   kv: KvClient;
-  upstreams: Map<string, Upstream[]>;
+  upstreams: Map<string, TargetStandin[]>;
   entries: Entry[];
   document: Document;
   stop: () => Promise<void>;
@@ -53,12 +53,12 @@
   const platform = await startPlatformStandin({ handlers: [members.handle] });
   const kv = createKvClient({ url: platform.url });
   const memberClient = createMemberClient(platform.url);
-  const upstreams = new Map<string, Upstream[]>();
+  const upstreams = new Map<string, TargetStandin[]>();
   for (const service of layout.services) {
     const started = await Promise.all(
-      Array.from({ length: service.upstreams }, (_, i) => {
-        const location = upstreamDomain(layout, i);
-        return startUpstream({
+      Array.from({ length: service.targets }, (_, i) => {
+        const location = failureDomainOfTarget(layout, i);
+        return startTargetStandin({
           id: `${service.name}-${location.failureDomain}-${i}`,
           service: service.name,
           region: location.region,
@@ -73,14 +73,14 @@
     );
     upstreams.set(service.name, started);
   }
-  const applied = await applyDocument(kv, layoutDocument(layout, 0));
+  const applied = await applyDocument(kv, documentForLayout(layout, 0));
   const { revision } = unwrap(applied);
   const entries: Entry[] = [];
   for (const region of layout.regions) {
     for (const failureDomain of region.failureDomains) {
       for (let n = 0; n < (options.entriesPerDomain ?? 1); n += 1) {
         const settings = unwrap(
-          validateSettings({
+          validateEntrySettings({
             id: `entry-${failureDomain}-${n}`,
             region: region.name,
             failureDomain,
@@ -96,7 +96,7 @@
   const documents = await Promise.all(entries.map((e) => e.ready()));
   // The member list is published with a delay: wait, up to 10 s, until every
   // entry knows every target.
-  const total = layout.services.reduce((s, svc) => s + svc.upstreams, 0);
+  const total = layout.services.reduce((s, svc) => s + svc.targets, 0);
   const deadline = Date.now() + 10_000;
   while (Date.now() < deadline) {
     const targetCounts = entries.map((e) =>
--- a/packages/cli/src/demo/runDemo.ts
+++ b/packages/cli/src/demo/runDemo.ts
@@ -7,14 +7,14 @@
 import type { Layout } from '@cardamomladder/document';
 import type { EntryAddress } from '@cardamomladder/callers';
 import { discoverEntries } from '@cardamomladder/callers';
-import type { LoadReport } from '@cardamomladder/load';
+import type { LoadRunReport } from '@cardamomladder/load';
 import { runLoad } from '@cardamomladder/load';
 import { startCluster } from './cluster';
 
 /** Measurements of a demo run. */
 export interface DemoReport {
   layout: string;
-  load: LoadReport;
+  load: LoadRunReport;
   /** Headroom per service and region as estimated by the first entry at the end of the load. */
   headroom: Record<string, Record<string, number>>;
   drains: { target: string; drainMs: number }[];
@@ -62,7 +62,7 @@
     const results = await Promise.all(loads);
     const now = Date.now();
     const headroom: Record<string, Record<string, number>> = {};
-    cluster.entries[0].fleet.headroom(now).forEach((regions, service) => {
+    cluster.entries[0].fleet.headroomByService(now).forEach((regions, service) => {
       headroom[service] = Object.fromEntries(
         [...regions].map(([r, h]) => [r, Math.round(h * 1000) / 1000]),
       );
@@ -90,7 +90,7 @@
       };
     });
     const requests = services.reduce((a, s) => a + s.requests, 0);
-    const load: LoadReport = {
+    const load: LoadRunReport = {
       durationMs,
       requests,
       perSecond: (requests * 1000) / durationMs,
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,2 +1,2 @@
-export { commandLine } from './commandLine';
+export { createCommandLine } from './commandLine';
 export { runCommandLine } from './runCommandLine';
--- a/packages/console/src/apply.ts
+++ b/packages/console/src/apply.ts
@@ -11,7 +11,7 @@
 import type { Document, DocumentInput } from '@cardamomladder/document';
 import { parseDocument, validateDocument } from '@cardamomladder/document';
 import type { KvClient } from '@cardamomladder/platform-kv';
-import { distance, normalize, scheduled } from '@cardamomladder/steering';
+import { splitDistance, normalizeWeights, scheduledSplitAt } from '@cardamomladder/steering';
 import type { Failure, RegionName } from '@cardamomladder/types';
 import { failure } from '@cardamomladder/types';
 
@@ -28,7 +28,7 @@
 const MAX_ATTEMPTS = 5;
 
 const normalizeShares = (shares: Record<string, number>) =>
-  normalize(new Map(Object.entries(shares) as [RegionName, number][]));
+  normalizeWeights(new Map(Object.entries(shares) as [RegionName, number][]));
 
 /**
  * Adds a planned shift to every service whose shares changed: the start time
@@ -45,7 +45,7 @@
     const previousService = previous?.services.find((s) => s.name === service.name);
     if (!previousService) return { ...service, shift: undefined };
     const currentSplit = previousService.shift
-      ? scheduled(
+      ? scheduledSplitAt(
           normalizeShares(previousService.shift.from),
           normalizeShares(previousService.shares),
           previousService.shift.startedAt,
@@ -53,7 +53,7 @@
           now,
         )
       : normalizeShares(previousService.shares);
-    if (distance(currentSplit, normalizeShares(service.shares)) < 1e-9)
+    if (splitDistance(currentSplit, normalizeShares(service.shares)) < 1e-9)
       return { ...service, shift: previousService.shift };
     return { ...service, shift: { from: Object.fromEntries(currentSplit), startedAt: now } };
   }),
--- a/packages/customers/src/__tests__/identify.test.ts
+++ b/packages/customers/src/__tests__/identify.test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, it } from 'vitest';
 import { apiKey, customerName, regionName } from '@cardamomladder/types';
 import type { Credentials, Customer } from '..';
-import { customerTable, identify, jointHomes } from '..';
+import { customerTable, identify, intersectHomeRegions } from '..';
 
 const customer = (name: string, keys: string[]): Customer => ({
   name: customerName(name),
@@ -71,7 +71,7 @@
   it('contains exactly the regions that both allow', () => {
     fc.assert(
       fc.property(fc.subarray(regions), fc.subarray(regions), (first, second) => {
-        const common = jointHomes(first, second);
+        const common = intersectHomeRegions(first, second);
         const allows = (list: readonly string[], region: string) =>
           list.length === 0 || list.includes(region);
         regions.forEach((region) => {
--- a/packages/customers/src/homeRegions.ts
+++ b/packages/customers/src/homeRegions.ts
@@ -5,7 +5,7 @@
 export type HomeRegionIntersection = readonly RegionName[] | 'nowhere';
 
 /** Returns the regions that both lists allow; an empty list allows every region. */
-export const jointHomes = (
+export const intersectHomeRegions = (
   first: readonly RegionName[],
   second: readonly RegionName[],
 ): HomeRegionIntersection => {
--- a/packages/customers/src/index.ts
+++ b/packages/customers/src/index.ts
@@ -1,12 +1,12 @@
 export type { Customer, RateLimit } from './customer';
 export type { HomeRegionIntersection } from './homeRegions';
-export { jointHomes } from './homeRegions';
+export { intersectHomeRegions } from './homeRegions';
 export type { Credentials, CustomerTable, Identity } from './identify';
 export { customerTable, identify } from './identify';
 export type { TokenNeed } from './quota/localQuota';
 export { LocalQuota, MAX_WAIT_MS, MIN_ASK_INTERVAL_MS } from './quota/localQuota';
 export type { LocalQuotaOptions } from './quota/localQuotas';
-export { Allowances } from './quota/localQuotas';
+export { LocalQuotas } from './quota/localQuotas';
 export { lenderOf, selectLenders } from './quota/lenderSelection';
 export type { LenderOptions } from './quota/lender';
 export { CONTACT_INTERVAL_MS, Lender } from './quota/lender';
--- a/packages/customers/src/quota/__fixtures__/quotaSimulation.ts
+++ b/packages/customers/src/quota/__fixtures__/quotaSimulation.ts
@@ -3,7 +3,7 @@
  * requests are admitted in any window, and how many are rejected that a single
  * token bucket shared by the whole fleet would have admitted.
  */
-import { mostInWindow } from '@cardamomladder/load';
+import { maxInWindow } from '@cardamomladder/load';
 import { customerName, instanceId } from '@cardamomladder/types';
 import type { InstanceId } from '@cardamomladder/types';
 import type { RateLimit } from '../../customer';
@@ -76,7 +76,7 @@
   const seconds = TOLERANCE.windowMs / MS_PER_SECOND;
   const maxTolerated =
     (limit.perSecond * seconds + limit.burst) * (1 + TOLERANCE.overage) + TOLERANCE.slack;
-  return mostInWindow(taken, TOLERANCE.windowMs) / maxTolerated;
+  return maxInWindow(taken, TOLERANCE.windowMs) / maxTolerated;
 };
 
 /** Runs a scenario with the sharing strategy that `build` creates. */
--- a/packages/customers/src/quota/__fixtures__/sharingStrategies.ts
+++ b/packages/customers/src/quota/__fixtures__/sharingStrategies.ts
@@ -1,7 +1,7 @@
 /** Strategies for sharing a limit, compared in the simulations. */
 import type { InstanceId } from '@cardamomladder/types';
 import type { Customer } from '../../customer';
-import { Allowances } from '../localQuotas';
+import { LocalQuotas } from '../localQuotas';
 import { lenderOf } from '../lenderSelection';
 import { Lender } from '../lender';
 import { TokenBucket } from '../tokenBucket';
@@ -84,10 +84,10 @@
     return lenderOf(SIMULATED_CUSTOMER, candidates)?.id ?? viewer;
   };
   const newState = (self: InstanceId, startedAt: number) => {
-    const quotas = new Allowances({
+    const quotas = new LocalQuotas({
       self,
       tolerance: TOLERANCE,
-      holders: () => sharers,
+      sharers: () => sharers,
       startedAt,
       now,
     });
--- a/packages/customers/src/quota/__tests__/quota.test.ts
+++ b/packages/customers/src/quota/__tests__/quota.test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, it } from 'vitest';
 import type { InstanceId } from '@cardamomladder/types';
 import { instanceId, regionName } from '@cardamomladder/types';
-import { seeded } from '@cardamomladder/load';
+import { seededRandom } from '@cardamomladder/load';
 import type { QuotaScenario } from '../__fixtures__/quotaSimulation';
 import { SIMULATED_CUSTOMER, TOLERANCE, simulateQuota } from '../__fixtures__/quotaSimulation';
 import {
@@ -27,7 +27,7 @@
   limit: LARGE,
   seconds: 14,
   demand: () => (0.6 * LARGE.perSecond) / instances,
-  random: seeded(instances),
+  random: seededRandom(instances),
   countedFrom: POOLS_FULL_MS,
   ...changes,
 });
@@ -89,7 +89,7 @@
                 ),
               isDown: (index, at) =>
                 outages.some((d) => at >= d.at && at < d.at + d.forMs && index % d.modulus === 0),
-              random: seeded(seed),
+              random: seededRandom(seed),
             }),
             lentTokens,
           );
@@ -113,10 +113,10 @@
         demand: () => (0.6 * perSecond) / instances,
       });
       const withoutWaiting = simulateQuota(
-        { ...spread, random: seeded(1) },
+        { ...spread, random: seededRandom(1) },
         lentTokensWithoutWaiting,
       );
-      const waiting = simulateQuota({ ...spread, random: seeded(1) }, lentTokens);
+      const waiting = simulateQuota({ ...spread, random: seededRandom(1) }, lentTokens);
       expect(withoutWaiting.rejectedWithinLimit).toBeGreaterThan(0.1);
       expect(waiting.rejectedWithinLimit).toBe(0);
       expect(waiting.longestWaitMs).toBeLessThanOrEqual(MAX_WAIT_MS);
--- a/packages/customers/src/quota/lender.ts
+++ b/packages/customers/src/quota/lender.ts
@@ -7,7 +7,7 @@
  * corresponds to the fraction of the fleet in contact with it. An instance asks
  * only one lender for a customer, so these fractions add up to the limit.
  */
-import type { Sharers } from '@cardamomladder/steering';
+import type { SharingInstances } from '@cardamomladder/steering';
 import type { CustomerName, InstanceId } from '@cardamomladder/types';
 import type { Customer, RateLimit } from '../customer';
 import type { TokenNeed } from './localQuota';
@@ -34,7 +34,7 @@
   /** True while this instance is the customer's lender in its own view of the fleet. */
   isLender: (customer: CustomerName) => boolean;
   /** The instances among which limits are divided. */
-  sharers: () => Sharers;
+  sharers: () => SharingInstances;
   /** When this process started, ms. */
   startedAt: number;
   /** Monotonic clock, ms. */
--- a/packages/customers/src/quota/localQuotas.ts
+++ b/packages/customers/src/quota/localQuotas.ts
@@ -1,5 +1,5 @@
 /** This instance's quotas for all customers that have a limit. */
-import type { Sharers } from '@cardamomladder/steering';
+import type { SharingInstances } from '@cardamomladder/steering';
 import type { CustomerName, InstanceId } from '@cardamomladder/types';
 import type { Customer, RateLimit } from '../customer';
 import type { TokenNeed } from './localQuota';
@@ -13,7 +13,7 @@
   self: InstanceId;
   tolerance: QuotaTolerance;
   /** The instances among which limits are divided; returns the same object until they change. */
-  holders: () => Sharers;
+  sharers: () => SharingInstances;
   /** When this process started; tokens of the guaranteed share that accrued since then are unused. */
   startedAt: number;
   /** Monotonic clock, ms. */
@@ -24,11 +24,11 @@
   customer: Customer;
   quota: LocalQuota;
   /** The instances for which the share was computed. */
-  sharers: Sharers;
+  sharers: SharingInstances;
 }
 
 /** Quotas by customer, created at a customer's first request. */
-export class Allowances {
+export class LocalQuotas {
   private readonly entries = new Map<CustomerName, Entry>();
 
   private customers: ReadonlyMap<CustomerName, Customer> = new Map();
@@ -56,7 +56,7 @@
   of(name: CustomerName): LocalQuota | undefined {
     const customer = this.customers.get(name);
     if (!customer) return undefined;
-    const sharers = this.options.holders();
+    const sharers = this.options.sharers();
     const entry = this.entries.get(name) ?? this.add(customer, sharers);
     if (entry.sharers !== sharers) this.share(Object.assign(entry, { sharers }));
     return entry.quota;
@@ -72,7 +72,7 @@
     return needs;
   }
 
-  private add(customer: Customer, sharers: Sharers): Entry {
+  private add(customer: Customer, sharers: SharingInstances): Entry {
     const since = this.limitedSince?.get(customer.name) ?? this.options.now();
     const quota = new LocalQuota(this.shareOf(customer, sharers), since);
     const entry = { customer, quota, sharers };
@@ -84,7 +84,7 @@
     quota.resize(this.shareOf(customer, sharers), this.options.now());
   }
 
-  private shareOf({ name, limit }: Customer, { ids, size }: Sharers): RateLimit {
+  private shareOf({ name, limit }: Customer, { ids, size }: SharingInstances): RateLimit {
     const { self, tolerance } = this.options;
     const { guaranteed } = quotaParts(limit ?? { perSecond: 0, burst: 0 }, tolerance);
     return guaranteedShare(name, guaranteed, self, ids, size);
--- a/packages/customers/src/quota/tokenPool.ts
+++ b/packages/customers/src/quota/tokenPool.ts
@@ -7,7 +7,7 @@
  * whole window; together they never exceed what one window allows.
  */
 import type { InstanceId } from '@cardamomladder/types';
-import { RollingCount } from '@cardamomladder/steering';
+import { SlidingWindowCounter } from '@cardamomladder/steering';
 import type { TokenNeed } from './localQuota';
 import { STOCK_EXPIRY_MS } from './localQuota';
 import type { QuotaParts } from './quotaParts';
@@ -40,7 +40,7 @@
 
   private readonly borrowers = new Map<InstanceId, Borrower>();
 
-  private readonly used: RollingCount;
+  private readonly used: SlidingWindowCounter;
 
   /** Starts with `tokens`; further tokens accrue from the time `from`. */
   constructor(
@@ -50,7 +50,7 @@
     tokens: number,
   ) {
     this.bucket = new TokenBucket(parts.pool, from, tokens);
-    this.used = new RollingCount(windowMs);
+    this.used = new SlidingWindowCounter(windowMs);
   }
 
   /** Applies a changed limit. */
--- a/packages/document/src/layouts.ts
+++ b/packages/document/src/layouts.ts
@@ -9,7 +9,7 @@
 export interface ServiceLayout {
   name: string;
   idempotent: boolean;
-  upstreams: number;
+  targets: number;
   slots: number;
   /** Typical processing time of one request on a warm target, in milliseconds. */
   serviceMs: number;
@@ -40,7 +40,7 @@
     {
       name: 'stada',
       idempotent: true,
-      upstreams: 16,
+      targets: 16,
       slots: 9,
       serviceMs: 4,
       answerBytes: 600,
@@ -49,7 +49,7 @@
     {
       name: 'boka',
       idempotent: false,
-      upstreams: 12,
+      targets: 12,
       slots: 7,
       serviceMs: 15,
       answerBytes: 300,
@@ -58,7 +58,7 @@
     {
       name: 'skjalasafn',
       idempotent: true,
-      upstreams: 12,
+      targets: 12,
       slots: 3,
       serviceMs: 40,
       answerBytes: 256 * 1024,
@@ -80,7 +80,7 @@
     {
       name: 'roster',
       idempotent: true,
-      upstreams: 18,
+      targets: 18,
       slots: 3,
       serviceMs: 4,
       answerBytes: 400,
@@ -89,7 +89,7 @@
     {
       name: 'gatebook',
       idempotent: false,
-      upstreams: 12,
+      targets: 12,
       slots: 3,
       serviceMs: 10,
       answerBytes: 200,
@@ -98,7 +98,7 @@
     {
       name: 'briefcase',
       idempotent: true,
-      upstreams: 12,
+      targets: 12,
       slots: 3,
       serviceMs: 30,
       answerBytes: 128 * 1024,
@@ -111,7 +111,7 @@
 export const layouts: Readonly<Record<string, Layout>> = { hraunvidd, waitaha };
 
 /** Region and failure domain of the target at `index`; targets are assigned round-robin. */
-export const upstreamDomain = (
+export const failureDomainOfTarget = (
   layout: Layout,
   index: number,
 ): { region: string; failureDomain: string } => {
@@ -122,7 +122,7 @@
 };
 
 /** Creates an operators' document for the layout, with equal shares for all regions. */
-export const layoutDocument = (layout: Layout, revision = 1): DocumentInput => ({
+export const documentForLayout = (layout: Layout, revision = 1): DocumentInput => ({
   revision,
   regions: layout.regions.map((r) => ({
     name: r.name,
--- a/packages/entry/src/daemon.ts
+++ b/packages/entry/src/daemon.ts
@@ -16,8 +16,8 @@
 import type { EntrySettings } from '@cardamomladder/settings';
 import type { EntryMetrics } from '@cardamomladder/telemetry';
 import { entryMetrics, logger } from '@cardamomladder/telemetry';
-import { followConfig } from './state/config';
-import { Dedup } from './state/dedup';
+import { watchConfig } from './state/config';
+import { DedupCache } from './state/dedup';
 import { Fleet } from './state/fleet';
 import { startRegistry } from './state/registry';
 import { RetryBudget } from './state/retryBudget';
@@ -77,7 +77,7 @@
     region: settings.region,
   };
 
-  const config = followConfig(kv, settings.platform.documentKey, {
+  const config = watchConfig(kv, settings.platform.documentKey, {
     waitMs: settings.platform.watchWaitMs,
     random,
   });
@@ -120,7 +120,7 @@
     });
   }, settings.tickMs);
 
-  const dedup = new Dedup();
+  const dedup = new DedupCache();
   const budget = new RetryBudget();
   server.on('request', (req, res) =>
     route(req, res, {
--- a/packages/entry/src/server/admission.ts
+++ b/packages/entry/src/server/admission.ts
@@ -8,7 +8,7 @@
 import { readBody } from '@cardamomladder/http-json';
 import type { RequestKey } from '@cardamomladder/types';
 import { requestKey } from '@cardamomladder/types';
-import type { Dedup, DedupDecision, StoredResponse } from '../state/dedup';
+import type { DedupCache, DedupDecision, StoredResponse } from '../state/dedup';
 import { endToEndHeaders } from './headers';
 import { sendError } from './errorResponse';
 
@@ -68,7 +68,7 @@
   req: IncomingMessage,
   res: ServerResponse,
   idempotent: boolean,
-  dedup: Dedup,
+  dedup: DedupCache,
 ): Promise<Admission> => {
   const body = await readBody(req, MAX_REQUEST_BYTES);
   if (body === 'too-large') {
--- a/packages/entry/src/server/forwarding.ts
+++ b/packages/entry/src/server/forwarding.ts
@@ -20,7 +20,7 @@
 import type { NotRunReason } from '@cardamomladder/targets';
 import type { EntryMetrics } from '@cardamomladder/telemetry';
 import type { TargetId } from '@cardamomladder/types';
-import type { Dedup } from '../state/dedup';
+import type { DedupCache } from '../state/dedup';
 import type { RetryBudget } from '../state/retryBudget';
 import { admit } from './admission';
 import type { ForwardedRequest } from './attempt';
@@ -31,7 +31,7 @@
 /** Dependencies provided by the daemon. */
 export interface ForwardingContext {
   metrics: EntryMetrics;
-  dedup: Dedup;
+  dedup: DedupCache;
   budget: RetryBudget;
   random: () => number;
   connectTimeoutMs: number;
--- a/packages/entry/src/server/relayResponse.ts
+++ b/packages/entry/src/server/relayResponse.ts
@@ -4,7 +4,7 @@
 import type { TargetView } from '@cardamomladder/steering';
 import type { AttemptResult } from '@cardamomladder/targets';
 import type { RequestKey } from '@cardamomladder/types';
-import type { Dedup } from '../state/dedup';
+import type { DedupCache } from '../state/dedup';
 import { endToEndHeaders } from './headers';
 
 /**
@@ -17,7 +17,7 @@
   target: TargetView,
   attempts: number,
   key: RequestKey | undefined,
-  dedup: Dedup,
+  dedup: DedupCache,
 ): Promise<void> =>
   new Promise((resolve) => {
     const headers = {
@@ -40,7 +40,7 @@
     });
     result.body.on('end', () => {
       if (key)
-        dedup.finish(key, {
+        dedup.complete(key, {
           status: result.status,
           headers: result.headers,
           body: Buffer.concat(chunks),
--- a/packages/entry/src/state/__tests__/config.test.ts
+++ b/packages/entry/src/state/__tests__/config.test.ts
@@ -1,12 +1,12 @@
 import { okAsync } from 'neverthrow';
 import { describe, expect, it } from 'vitest';
-import { layoutDocument, waitaha } from '@cardamomladder/document';
+import { documentForLayout, waitaha } from '@cardamomladder/document';
 import type { KvClient, KvItem } from '@cardamomladder/platform-kv';
-import { followConfig } from '../config';
+import { watchConfig } from '../config';
 
 const item = (revision: number, modRevision: number): KvItem => ({
   key: 'doc',
-  value: JSON.stringify(layoutDocument(waitaha, revision)),
+  value: JSON.stringify(documentForLayout(waitaha, revision)),
   modRevision,
 });
 
@@ -25,7 +25,7 @@
             : { events: [], revision: 21 },
         ),
     } as unknown as KvClient;
-    const follower = followConfig(kv, 'doc', { waitMs: 10 });
+    const follower = watchConfig(kv, 'doc', { waitMs: 10 });
     await new Promise((resolve) => {
       setTimeout(resolve, 50);
     });
--- a/packages/entry/src/state/config.ts
+++ b/packages/entry/src/state/config.ts
@@ -18,35 +18,35 @@
 /** The current document (undefined until one is loaded) and the state of the store. */
 export interface ConfigState {
   document?: Document;
-  storeUp: boolean;
+  storeReachable: boolean;
   rejected: number;
 }
 
 /** Watches `key`; `state` emits after every watch update. */
-export const followConfig = (
+export const watchConfig = (
   kv: KvClient,
   key: string,
   options: { waitMs: number; random?: () => number },
 ): { state: BehaviorSubject<ConfigState>; stop: () => void } => {
-  const state = new BehaviorSubject<ConfigState>({ storeUp: false, rejected: 0 });
+  const state = new BehaviorSubject<ConfigState>({ storeReachable: false, rejected: 0 });
   const subscription: Subscription = watchPrefix(kv, key, {
     waitMs: options.waitMs,
     random: options.random,
   }).subscribe((update) => {
     const current = state.value;
     if (update.kind === 'down') {
-      if (current.storeUp || current.document === undefined) {
+      if (current.storeReachable || current.document === undefined) {
         log.warn('platform KV unreachable; keeping the document in force', {
           revision: current.document?.revision,
           reason: update.failure.message,
         });
       }
-      state.next({ ...current, storeUp: false });
+      state.next({ ...current, storeReachable: false });
       return;
     }
     const item = update.items.filter((i) => i.key === key && i.value !== null).at(-1);
     if (!item?.value) {
-      state.next({ ...current, storeUp: true });
+      state.next({ ...current, storeReachable: true });
       return;
     }
     const parsed = parseDocument(item.value);
@@ -54,16 +54,16 @@
       log.error('document in the store is invalid; keeping the one in force', {
         reason: parsed.error.message,
       });
-      state.next({ ...current, storeUp: true, rejected: current.rejected + 1 });
+      state.next({ ...current, storeReachable: true, rejected: current.rejected + 1 });
       return;
     }
     const next = parsed.value;
     if (current.document && next.revision <= current.document.revision) {
-      state.next({ ...current, storeUp: true });
+      state.next({ ...current, storeReachable: true });
       return;
     }
     log.info('document in force', { revision: next.revision });
-    state.next({ ...current, document: next, storeUp: true });
+    state.next({ ...current, document: next, storeReachable: true });
   });
   return {
     state,
--- a/packages/entry/src/state/dedup.ts
+++ b/packages/entry/src/state/dedup.ts
@@ -35,7 +35,7 @@
   | { kind: 'unknown' };
 
 /** Idempotency keys of one entry, with the state of their requests. */
-export class Dedup {
+export class DedupCache {
   private readonly slots = new Map<RequestKey, { keyState: KeyState; at: number }>();
 
   constructor(
@@ -61,7 +61,7 @@
   }
 
   /** Stores the response of a completed request. */
-  finish(key: RequestKey, answer: StoredResponse): void {
+  complete(key: RequestKey, answer: StoredResponse): void {
     this.slots.set(key, { keyState: { state: 'done', answer }, at: this.now() });
   }
 
--- a/packages/entry/src/state/fleet.ts
+++ b/packages/entry/src/state/fleet.ts
@@ -86,7 +86,7 @@
   }
 
   /** Headroom per region of every service. */
-  headroom(now: number): Map<ServiceName, Map<RegionName, number>> {
+  headroomByService(now: number): Map<ServiceName, Map<RegionName, number>> {
     return new Map([...this.services].map(([name, s]) => [name, s.headroomByRegion(now)]));
   }
 }
--- a/packages/fleet/src/__fixtures__/follower.ts
+++ b/packages/fleet/src/__fixtures__/follower.ts
@@ -2,7 +2,7 @@
 import { errAsync } from 'neverthrow';
 import { storeEpoch } from '@cardamomladder/types';
 import type { Follower, FollowerOptions, StoreFailure } from '..';
-import { Beliefs, follow } from '..';
+import { ClusterState, follow } from '..';
 import { instanceAt } from './instances';
 
 /** The epoch of a store that has never been restored. */
@@ -18,10 +18,10 @@
 }: Pick<FollowerOptions, 'store'> & Partial<FollowerOptions>): Follower =>
   follow({
     store,
-    beliefs: new Beliefs(),
+    clusterState: new ClusterState(),
     self: instanceAt('i-1', 'north-a', 'north'),
-    askPeers: async () => [],
-    askSnapshot: async () => undefined,
+    queryPeers: async () => [],
+    requestSnapshot: async () => undefined,
     watchPeer: () => errAsync(STORE_DOWN),
     now: () => performance.now(),
     random: () => 0.5,
--- a/packages/fleet/src/__fixtures__/instances.ts
+++ b/packages/fleet/src/__fixtures__/instances.ts
@@ -7,10 +7,10 @@
   socketAddress,
   targetId,
 } from '@cardamomladder/types';
-import type { FactRecord, InstanceEntry } from '..';
+import type { StoreRecord, InstanceEntry } from '..';
 
 /** Creates a target record at a revision. */
-export const targetRecord = (id: string, revision: number): FactRecord => ({
+export const targetRecord = (id: string, revision: number): StoreRecord => ({
   key: `targets/${id}`,
   revision,
   fact: {
@@ -39,7 +39,7 @@
 });
 
 /** Creates records for instances i-0, i-1 and so on in one failure domain, registered in this order from revision 1 on. */
-export const registeredInstances = (count: number): FactRecord[] =>
+export const registeredInstances = (count: number): StoreRecord[] =>
   Array.from({ length: count }, (_, i) => ({
     key: `instances/i-${i}`,
     revision: i + 1,
--- a/packages/fleet/src/__tests__/clusterState.test.ts
+++ b/packages/fleet/src/__tests__/clusterState.test.ts
@@ -6,8 +6,8 @@
 import { describe, expect, it } from 'vitest';
 import type { Configuration } from '@cardamomladder/routing';
 import { configurationVersion } from '@cardamomladder/types';
-import type { FactChange, FactChanges, FactList, Store } from '..';
-import { Beliefs, follow } from '..';
+import type { RecordChange, RecordChanges, RecordList, Store } from '..';
+import { ClusterState, follow } from '..';
 import { INITIAL_EPOCH } from '../__fixtures__/follower';
 import { instanceAt, targetRecord } from '../__fixtures__/instances';
 
@@ -25,11 +25,11 @@
           maxLength: 60,
         }),
         (writes) => {
-          const clusterState = new Beliefs();
+          const clusterState = new ClusterState();
           let inForce = 0;
           writes.forEach(([revision, version]) => {
             const fact = { kind: 'configuration' as const, configuration: configuration(version) };
-            clusterState.take({ key: 'configuration', revision, fact });
+            clusterState.applyChange({ key: 'configuration', revision, fact });
             const now = clusterState.configuration?.version ?? 0;
             expect(now).toBeGreaterThanOrEqual(inForce);
             inForce = now;
@@ -47,9 +47,9 @@
     // arrives without the target; then the watch responds with the target's
     // earlier entry. Entries used to be compared only with the current record,
     // and a removed target has none.
-    const clusterState = new Beliefs();
-    let answerWatch: (changes: FactChange[]) => void = () => {};
-    const later: FactList = { records: [], epoch: INITIAL_EPOCH, revision: 9 };
+    const clusterState = new ClusterState();
+    let answerWatch: (changes: RecordChange[]) => void = () => {};
+    const later: RecordList = { records: [], epoch: INITIAL_EPOCH, revision: 9 };
     const store = {
       list: () => okAsync({ records: [], epoch: INITIAL_EPOCH, revision: 3 }),
       epochs: NEVER,
@@ -58,24 +58,24 @@
           .andThen(() => okAsync(undefined))
           .map(
             () =>
-              new Promise<FactChanges>((resolve) => {
+              new Promise<RecordChanges>((resolve) => {
                 answerWatch = (changes) => resolve({ changes, epoch: INITIAL_EPOCH, revision: 5 });
               }),
           ),
     } as unknown as Store;
     const follower = follow({
       store,
-      beliefs: clusterState,
+      clusterState,
       self: instanceAt('i-1', 'north-a', 'north'),
-      askPeers: async () => [],
-      askSnapshot: async () => undefined,
+      queryPeers: async () => [],
+      requestSnapshot: async () => undefined,
       watchPeer: () => errAsync({ kind: 'unavailable', message: 'no peer' }),
       now: () => performance.now(),
       random: () => 0.5,
       report: () => {},
     });
     await sleep(20);
-    later.records.forEach((record) => clusterState.take(record));
+    later.records.forEach((record) => clusterState.applyChange(record));
     clusterState.advanceTo(later.revision);
     answerWatch([targetRecord('t-1', 4)]);
     await sleep(20);
--- a/packages/fleet/src/__tests__/crashReports.test.ts
+++ b/packages/fleet/src/__tests__/crashReports.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { CrashReport } from '@cardamomladder/types';
 import { callerDigest, requestDigest, targetId, targetRun } from '@cardamomladder/types';
-import { CrashReports, REPORT_RETENTION_MS, isCovered } from '..';
+import { CrashReports, REPORT_RETENTION_MS, hasAllReports } from '..';
 import { INITIAL_EPOCH } from '../__fixtures__/follower';
 
 const crashOf = (run: number, ...requests: string[]) => ({
@@ -48,7 +48,7 @@
         return okAsync(undefined);
       },
     },
-    book: {
+    index: {
       file: (key, _place, report) => indexed.set(key, report),
       all: () => [...indexed].map(([key, report]) => ({ key, report, place: PLACE })),
       knows: (key) => indexed.has(key),
@@ -74,9 +74,9 @@
 
 describe('a crash report', () => {
   it('takes effect locally at once, and is written once with all batched observations', async () => {
-    reports.crashed(crashOf(1, 'x', 'a'));
-    reports.crashed(crashOf(2, 'b'));
-    reports.crashed(crashOf(1, 'c'));
+    reports.addCrash(crashOf(1, 'x', 'a'));
+    reports.addCrash(crashOf(2, 'b'));
+    reports.addCrash(crashOf(1, 'c'));
     reports.answered({ request: requestDigest('d') });
     expect(indexed.get('crashes/report-1')).toMatchInlineSnapshot(`
       {
@@ -125,7 +125,7 @@
     // instances that each report every crash at once exceed the store's write
     // rate with reports alone.
     for (let i = 0; i < 20; i += 1) {
-      reports.crashed(crashOf(i, 'x'));
+      reports.addCrash(crashOf(i, 'x'));
       await vi.advanceTimersByTimeAsync(100);
     }
     // One instance of 100 may write twice a second.
@@ -139,21 +139,21 @@
     // more per instance afterwards: failed writes used to be abandoned if the
     // store was unavailable when the crashes were observed.
     isStoreUnavailable = true;
-    reports.crashed(crashOf(1, 'x'));
+    reports.addCrash(crashOf(1, 'x'));
     await vi.advanceTimersByTimeAsync(20_000);
     expect(written).toEqual([]);
     expect(reports.after(undefined).reports.map(({ id }) => id)).toEqual(['report-1']);
-    expect(isCovered(reports.mark, undefined)).toBe(false);
+    expect(hasAllReports(reports.mark, undefined)).toBe(false);
     isStoreUnavailable = false;
     await vi.advanceTimersByTimeAsync(3100);
     expect(written.map(([id]) => id)).toEqual(['report-1']);
     expect(reports.after(undefined).reports).toEqual([]);
     // No report is left to forward, so no exchange with peers is requested.
-    expect(isCovered(reports.mark, undefined)).toBe(true);
+    expect(hasAllReports(reports.mark, undefined)).toBe(true);
   });
 
   it('is removed from the store and locally when it has expired', async () => {
-    reports.crashed(crashOf(1, 'x'));
+    reports.addCrash(crashOf(1, 'x'));
     await vi.advanceTimersByTimeAsync(1000);
     expiredKeys = ['crashes/report-1'];
     await vi.advanceTimersByTimeAsync(120_000);
@@ -163,7 +163,7 @@
 
   // Guards against later processes not knowing reports that were lost when the store was restored from an older copy.
   it('is written again with its original position if the restored store lacks it', async () => {
-    reports.crashed(crashOf(1, 'x'));
+    reports.addCrash(crashOf(1, 'x'));
     await vi.advanceTimersByTimeAsync(1000);
     const [, report] = written[0];
     storedKeys.clear();
@@ -186,7 +186,7 @@
 
   // Guards against an expired report that this instance removed taking effect again for the whole retention period.
   it('is removed again if it reappears in the restored store', async () => {
-    reports.crashed(crashOf(1, 'x'));
+    reports.addCrash(crashOf(1, 'x'));
     await vi.advanceTimersByTimeAsync(1000);
     expiredKeys = ['crashes/report-1'];
     await vi.advanceTimersByTimeAsync(120_000);
--- a/packages/fleet/src/__tests__/outage.test.ts
+++ b/packages/fleet/src/__tests__/outage.test.ts
@@ -3,8 +3,8 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { NEVER } from 'rxjs';
 import { describe, expect, it } from 'vitest';
-import type { FactChanges, PeerAnswer, Store, StoreFailure } from '..';
-import { Beliefs } from '..';
+import type { RecordChanges, PeerResponse, Store, StoreFailure } from '..';
+import { ClusterState } from '..';
 import { STORE_DOWN, INITIAL_EPOCH, followWithoutPeers } from '../__fixtures__/follower';
 import { instanceAt, registeredInstances, targetRecord } from '../__fixtures__/instances';
 
@@ -25,7 +25,7 @@
     if (!hadOutage || removalReported || listed > 1)
       return okAsync({ changes: [], epoch: INITIAL_EPOCH, revision: 3 });
     if (history === 'gone')
-      return errAsync<FactChanges, StoreFailure>({ kind: 'history-gone', message: 'gone' });
+      return errAsync<RecordChanges, StoreFailure>({ kind: 'history-gone', message: 'gone' });
     removalReported = true;
     const removal = { key: 'targets/t-1', revision: 4, removed: true as const };
     return okAsync({ changes: [removal], epoch: INITIAL_EPOCH, revision: 4 });
@@ -58,16 +58,16 @@
 };
 
 const stateAfterOutage = async (
-  peers: (outageMs: number) => PeerAnswer[],
+  peers: (outageMs: number) => PeerResponse[],
   history: 'kept' | 'gone',
 ): Promise<{ keptAfterRecovery: boolean }> => {
-  const clusterState = new Beliefs();
+  const clusterState = new ClusterState();
   const { store, setUnavailable, back } = storeWithOutage(history);
   let outageStart = 0;
   const follower = followWithoutPeers({
     store,
-    beliefs: clusterState,
-    askPeers: async () => peers(performance.now() - outageStart),
+    clusterState,
+    queryPeers: async () => peers(performance.now() - outageStart),
   });
   await sleep(50);
   outageStart = performance.now();
@@ -230,9 +230,9 @@
 describe('a target whose entry is missing after an outage', () => {
   // Guards against removing all targets while the store is unavailable again and no entry can be rewritten.
   it('is kept while the store is unavailable again', async () => {
-    const clusterState = new Beliefs();
+    const clusterState = new ClusterState();
     const { store, setUnavailable, back } = storeWithOutage('kept');
-    const follower = followWithoutPeers({ store, beliefs: clusterState });
+    const follower = followWithoutPeers({ store, clusterState });
     await sleep(50);
     setUnavailable(true);
     await sleep(OUTAGE_MS);
--- a/packages/fleet/src/__tests__/packedRecords.test.ts
+++ b/packages/fleet/src/__tests__/packedRecords.test.ts
@@ -1,7 +1,7 @@
 /** Packing of changes that a relay sends to its followers. */
 import { describe, expect, it } from 'vitest';
 import { storeEpoch } from '@cardamomladder/types';
-import { PackedChanges, pack, unpackChanges } from '..';
+import { PackedChangesCache, pack, unpackChanges } from '..';
 import { INITIAL_EPOCH } from '../__fixtures__/follower';
 import { targetRecord } from '../__fixtures__/instances';
 
@@ -28,7 +28,7 @@
   });
 
   it('are packed once for all requests from the same revision', () => {
-    const packed = new PackedChanges();
+    const packed = new PackedChangesCache();
     const changes = changesOf(5);
     const first = packed.between({ epoch: INITIAL_EPOCH, revision: 0 }, 5, changes);
     expect(packed.between({ epoch: INITIAL_EPOCH, revision: 0 }, 5, changes)).toBe(first);
--- a/packages/fleet/src/__tests__/registration.test.ts
+++ b/packages/fleet/src/__tests__/registration.test.ts
@@ -3,8 +3,8 @@
 import { NEVER } from 'rxjs';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { storeEpoch } from '@cardamomladder/types';
-import type { FactRecord, Registration, Store } from '..';
-import { Beliefs, startRegistration } from '..';
+import type { StoreRecord, Registration, Store } from '..';
+import { ClusterState, startRegistration } from '..';
 import { StateUpdater } from '../stateUpdater';
 import { INITIAL_EPOCH } from '../__fixtures__/follower';
 import { instanceAt } from '../__fixtures__/instances';
@@ -14,14 +14,14 @@
 /** The revision of the first written entry. */
 const WRITTEN_AT = 5;
 
-const entryAt = (revision: number): FactRecord => ({
+const entryAt = (revision: number): StoreRecord => ({
   key: KEY,
   revision,
   fact: { kind: 'instance', instance: SELF },
 });
 
 let calls: string[];
-let clusterState: Beliefs;
+let clusterState: ClusterState;
 let updater: StateUpdater;
 let registration: Registration;
 
@@ -45,7 +45,7 @@
   } as unknown as Store;
   registration = startRegistration({
     store,
-    beliefs: clusterState,
+    clusterState,
     self: SELF,
     now: () => Date.now(),
     report: () => {},
@@ -54,7 +54,7 @@
   updater.applyList({ epoch: INITIAL_EPOCH, revision: WRITTEN_AT, records: [entryAt(WRITTEN_AT)] });
   calls = [];
 };
-const restoreStore = async (records: FactRecord[]): Promise<void> => {
+const restoreStore = async (records: StoreRecord[]): Promise<void> => {
   updater.applyList({ epoch: storeEpoch(1), revision: WRITTEN_AT, records });
   await vi.advanceTimersByTimeAsync(10);
 };
@@ -62,7 +62,7 @@
 beforeEach(async () => {
   vi.useFakeTimers();
   calls = [];
-  clusterState = new Beliefs(() => Date.now());
+  clusterState = new ClusterState(() => Date.now());
   updater = new StateUpdater(
     clusterState,
     () => Date.now(),
@@ -71,7 +71,7 @@
   await startRegistered();
 });
 afterEach(async () => {
-  await registration.leave();
+  await registration.deregister();
   vi.useRealTimers();
 });
 
@@ -98,7 +98,7 @@
   // Guards against revoking a lease id that has since been assigned to another instance.
   it('does not revoke a lease from before the restore when the instance deregisters', async () => {
     updater.applyList({ epoch: storeEpoch(1), revision: WRITTEN_AT, records: [] });
-    await registration.leave();
+    await registration.deregister();
     expect(calls).not.toContain('end lease');
   });
 });
--- a/packages/fleet/src/__tests__/relay.test.ts
+++ b/packages/fleet/src/__tests__/relay.test.ts
@@ -1,7 +1,7 @@
 /** All instances select the same relays, and followers of a relay miss no change. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import type { FactChange, InstanceEntry, RegisteredInstance } from '..';
+import type { RecordChange, InstanceEntry, RegisteredInstance } from '..';
 import { ChangeLog, relayCount, relaysFor } from '..';
 import { INITIAL_EPOCH } from '../__fixtures__/follower';
 import { instanceAt } from '../__fixtures__/instances';
@@ -95,7 +95,7 @@
   });
 });
 
-const removal = (revision: number): FactChange => ({
+const removal = (revision: number): RecordChange => ({
   key: `k-${revision}`,
   revision,
   removed: true,
--- a/packages/fleet/src/__tests__/snapshot.test.ts
+++ b/packages/fleet/src/__tests__/snapshot.test.ts
@@ -3,12 +3,12 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { NEVER } from 'rxjs';
 import { describe, expect, it } from 'vitest';
-import type { FactList, Store, StoreFailure } from '..';
-import { Beliefs, pack, unpackFacts } from '..';
+import type { RecordList, Store, StoreFailure } from '..';
+import { ClusterState, pack, unpackList } from '..';
 import { INITIAL_EPOCH, followWithoutPeers } from '../__fixtures__/follower';
 import { targetRecord } from '../__fixtures__/instances';
 
-const LIST: FactList = {
+const LIST: RecordList = {
   records: [targetRecord('t-1', 3), targetRecord('t-2', 7)],
   epoch: INITIAL_EPOCH,
   revision: 9,
@@ -16,7 +16,7 @@
 
 /** Follows the store for a while and records the calls it receives, in order. */
 const recordStoreCalls = async (
-  snapshot: FactList | undefined | Promise<FactList | undefined>,
+  snapshot: RecordList | undefined | Promise<RecordList | undefined>,
   watch: (call: number) => StoreFailure | undefined = () => undefined,
   followedForMs = 80,
   listFails = false,
@@ -39,11 +39,11 @@
     instanceKey: (id: string) => `instances/${id}`,
     epochs: NEVER,
   } as unknown as Store;
-  const clusterState = new Beliefs();
+  const clusterState = new ClusterState();
   const follower = followWithoutPeers({
     store,
-    beliefs: clusterState,
-    askSnapshot: async () => snapshot,
+    clusterState,
+    requestSnapshot: async () => snapshot,
   });
   await sleep(followedForMs);
   const heardMsAgo = follower.storeHeardMsAgo();
@@ -112,13 +112,13 @@
 
 describe('a packed list', () => {
   it('is unchanged after unpacking', async () => {
-    expect(await unpackFacts(await pack(LIST))).toEqual(ok(LIST));
+    expect(await unpackList(await pack(LIST))).toEqual(ok(LIST));
   });
 
   it('is rejected if it is truncated or not a list', async () => {
     const packed = await pack(LIST);
     const others = [packed.slice(0, packed.length / 2), '', '!', await pack([] as never)];
-    const read = await Promise.all(others.map((text) => unpackFacts(text)));
+    const read = await Promise.all(others.map((text) => unpackList(text)));
     const problems = read.map((result) => (result.isErr() ? result.error.kind : 'taken'));
     expect(problems).toEqual(others.map(() => 'unreadable'));
   });
--- a/packages/fleet/src/changeLog.ts
+++ b/packages/fleet/src/changeLog.ts
@@ -4,9 +4,9 @@
  * that applies them reaches the state it would have read from the store itself.
  */
 import { Subject } from 'rxjs';
-import type { StoreEpoch, StoreMoment } from '@cardamomladder/types';
-import { compareMoments, storeEpoch } from '@cardamomladder/types';
-import type { FactChange, FactChanges } from './records';
+import type { StoreEpoch, StorePosition } from '@cardamomladder/types';
+import { comparePositions, storeEpoch } from '@cardamomladder/types';
+import type { RecordChange, RecordChanges } from './records';
 
 /** Minimum log capacity, in changes: enough for replacing a fleet of 300 targets and instances within one peer request (700 ms). */
 const MIN_KEPT_CHANGES = 1024;
@@ -24,7 +24,7 @@
   /** The log is complete for changes after this revision; earlier ones have been discarded. */
   private discardedUpTo = 0;
 
-  private changes: readonly FactChange[] = [];
+  private changes: readonly RecordChange[] = [];
 
   /** Log capacity, in changes. Grows with the highest number of records seen, since all of them may be removed at once. */
   private most = MIN_KEPT_CHANGES;
@@ -38,12 +38,12 @@
   constructor(private readonly known: () => number = () => 0) {}
 
   /** Whether the log has advanced past a store position. */
-  isAfter(position: StoreMoment): boolean {
-    return compareMoments(this, position) > 0;
+  isAfter(position: StorePosition): boolean {
+    return comparePositions(this, position) > 0;
   }
 
   /** Clears the log at the position of a list, since the individual changes before it are not known. */
-  reset({ epoch, revision }: StoreMoment): void {
+  reset({ epoch, revision }: StorePosition): void {
     if (epoch === this.epoch && revision === this.revision) return;
     this.changes = [];
     this.epoch = epoch;
@@ -53,7 +53,7 @@
   }
 
   /** Appends the changes that follow revision `after` of their epoch; resets the log to that revision if there is a gap. */
-  add(after: number, { epoch, changes, revision }: FactChanges): void {
+  add(after: number, { epoch, changes, revision }: RecordChanges): void {
     if (epoch !== this.epoch || after > this.revision) this.reset({ epoch, revision: after });
     if (revision <= this.revision) return;
     const all = [...this.changes, ...changes.filter((c) => c.revision > this.revision)];
@@ -66,7 +66,7 @@
   }
 
   /** Returns the changes after a position, or undefined if some of them have been discarded. */
-  since({ epoch, revision }: StoreMoment): FactChange[] | undefined {
+  since({ epoch, revision }: StorePosition): RecordChange[] | undefined {
     if (epoch !== this.epoch || revision < this.discardedUpTo) return undefined;
     return this.changes.filter((change) => change.revision > revision);
   }
--- a/packages/fleet/src/clusterState.ts
+++ b/packages/fleet/src/clusterState.ts
@@ -13,27 +13,34 @@
   FailureDomainName,
   InstanceId,
   StoreEpoch,
-  StoreMoment,
+  StorePosition,
   TargetId,
 } from '@cardamomladder/types';
-import { RecentMap, storeEpoch } from '@cardamomladder/types';
-import type { Fact, FactChange, FactList, FactRecord, InstanceEntry, TargetEntry } from './records';
+import { ExpiringMap, storeEpoch } from '@cardamomladder/types';
+import type {
+  RecordValue,
+  RecordChange,
+  RecordList,
+  StoreRecord,
+  InstanceEntry,
+  TargetEntry,
+} from './records';
 
 /** How long removed records are retained, ms: far longer than the age of a copy from which the store is restored. */
 const REMOVED_RETENTION_MS = 60_000;
 
 /** Describes a restore of the store from an older copy, after the state has been moved to the new epoch. */
-export interface StoreRestored extends StoreMoment {
+export interface StoreRestored extends StorePosition {
   /** The position up to which the store was followed before the restore. */
-  followed: StoreMoment;
+  followed: StorePosition;
   /** Keys that are present locally but missing from the restored store. */
   missing: readonly string[];
   /** Records that the restored store has in an earlier state. */
-  outdated: readonly FactRecord[];
+  outdated: readonly StoreRecord[];
 }
 
 /** A change to the cluster state, for subscribers and the log. */
-export type BeliefChange =
+export type ClusterStateChange =
   | { kind: 'configuration'; configuration: Configuration }
   | { kind: 'target'; target: TargetEntry; revision: number }
   | { kind: 'target-gone'; id: TargetId; revision: number }
@@ -41,16 +48,16 @@
   | { kind: 'instance'; instance: InstanceEntry; revision: number }
   | { kind: 'instance-gone'; id: InstanceId; revision: number }
   | ({ kind: 'restored' } & StoreRestored)
-  | ({ kind: 'crash-report'; key: string; report: CrashReport } & StoreMoment)
+  | ({ kind: 'crash-report'; key: string; report: CrashReport } & StorePosition)
   | { kind: 'crash-report-gone'; key: string; revision: number }
   | { kind: 'invalid'; key: string; problem: string };
 
-const isRemoval = (change: FactChange): change is Extract<FactChange, { removed: true }> =>
+const isRemoval = (change: RecordChange): change is Extract<RecordChange, { removed: true }> =>
   'removed' in change;
 
 /** The cluster state as known to this instance; `changes` emits each change after it has been applied. */
-export class Beliefs {
-  readonly changes = new Subject<BeliefChange>();
+export class ClusterState {
+  readonly changes = new Subject<ClusterStateChange>();
 
   readonly instances = new Map<InstanceId, InstanceEntry>();
 
@@ -65,16 +72,16 @@
   revision = 0;
 
   /** Recently removed records in their last state; some may reappear when the store is restored from an older copy. */
-  readonly removed: RecentMap<string, FactRecord>;
+  readonly removed: ExpiringMap<string, StoreRecord>;
 
-  private readonly records = new Map<string, FactRecord>();
+  private readonly records = new Map<string, StoreRecord>();
 
   constructor(now: () => number = () => performance.now()) {
-    this.removed = new RecentMap(REMOVED_RETENTION_MS, now);
+    this.removed = new ExpiringMap(REMOVED_RETENTION_MS, now);
   }
 
   /** The store position up to which changes have been applied. */
-  get moment(): StoreMoment {
+  get position(): StorePosition {
     return { epoch: this.epoch, revision: this.revision };
   }
 
@@ -84,12 +91,12 @@
   }
 
   /** Lists all records. */
-  list(): FactList {
-    return { records: [...this.records.values()], ...this.moment };
+  list(): RecordList {
+    return { records: [...this.records.values()], ...this.position };
   }
 
   /** Returns the local keys that are absent from `list`, i.e. records removed without an observed change. */
-  keysMissingFrom(list: FactList): string[] {
+  keysMissingFrom(list: RecordList): string[] {
     const listed = new Set(list.records.map((r) => r.key));
     return [...this.records.keys()].filter((key) => !listed.has(key));
   }
@@ -103,29 +110,29 @@
     return this.records.get(key)?.revision ?? 0;
   }
 
-  recordOf(key: string): FactRecord | undefined {
+  recordOf(key: string): StoreRecord | undefined {
     return this.records.get(key);
   }
 
-  factOf(key: string): Fact | undefined {
+  valueAt(key: string): RecordValue | undefined {
     return this.records.get(key)?.fact;
   }
 
   /** Applies a change if it is newer than the current record. */
-  take(change: FactChange): void {
+  applyChange(change: RecordChange): void {
     if (change.revision <= this.revisionOf(change.key)) return;
     if (isRemoval(change)) {
-      this.remove(change.key, change.revision);
+      this.removeRecord(change.key, change.revision);
       return;
     }
     this.setRecord(change);
   }
 
   /** Stores and publishes a record regardless of the current revision. */
-  setRecord(record: FactRecord): void {
+  setRecord(record: StoreRecord): void {
     // An entry that cannot be decoded identifies no target, so a target previously stored under the key is removed.
-    if (record.fact.kind === 'invalid' && this.factOf(record.key)?.kind === 'target')
-      this.remove(record.key, record.revision);
+    if (record.fact.kind === 'invalid' && this.valueAt(record.key)?.kind === 'target')
+      this.removeRecord(record.key, record.revision);
     this.removed.delete(record.key);
     this.records.set(record.key, record);
     this.publish(record);
@@ -138,7 +145,7 @@
   }
 
   /** Sets the epoch and revision from which the store is followed. */
-  startEpoch({ epoch, revision }: StoreMoment): void {
+  startEpoch({ epoch, revision }: StorePosition): void {
     this.epoch = epoch;
     this.revision = revision;
   }
@@ -154,7 +161,7 @@
   }
 
   /** Removes the record under `key` and publishes its removal. */
-  remove(key: string, revision: number): void {
+  removeRecord(key: string, revision: number): void {
     const current = this.records.get(key);
     if (!current) return;
     this.records.delete(key);
@@ -178,7 +185,7 @@
     }
   }
 
-  private publish({ key, revision, fact }: FactRecord): void {
+  private publish({ key, revision, fact }: StoreRecord): void {
     switch (fact.kind) {
       case 'configuration':
         if (this.configuration && fact.configuration.version <= this.configuration.version) return;
--- a/packages/fleet/src/crashReports.ts
+++ b/packages/fleet/src/crashReports.ts
@@ -16,13 +16,13 @@
   AnsweredRequest,
   CrashReport,
   StoreEpoch,
-  StoreMoment,
+  StorePosition,
   TargetCrash,
 } from '@cardamomladder/types';
 import { pause } from '@cardamomladder/types';
 import type { Store, StoreFailure } from './records';
 import { ReportBuilder } from './reportBuilder';
-import type { ForwardedReport, PassedReports, ReportMark } from './forwardedReports';
+import type { ForwardedReport, ForwardedReports, ReportCursor } from './forwardedReports';
 import { ForwardedReportLog } from './forwardedReports';
 
 /** Delay for batching observations before a report is written, ms: all connections of a crashed target close within it. With this value nine instances all knew of a crash after 0.13 s, and three under test after 0.26 s. */
@@ -47,8 +47,8 @@
 
 /** Index of the reports in effect on this instance. */
 export interface CrashReportIndex {
-  file: (key: string, position: StoreMoment, report: CrashReport) => void;
-  all: () => readonly { key: string; report: CrashReport; place: StoreMoment }[];
+  file: (key: string, position: StorePosition, report: CrashReport) => void;
+  all: () => readonly { key: string; report: CrashReport; place: StorePosition }[];
   knows: (key: string) => boolean;
   drop: (key: string) => void;
   olderThan: (ms: number) => string[];
@@ -57,7 +57,7 @@
 /** Options of `CrashReports`. */
 export interface CrashReportsOptions {
   store: Pick<Store, 'fileReport' | 'reportKey' | 'reportId' | 'removeReports'>;
-  book: CrashReportIndex;
+  index: CrashReportIndex;
   fleetSize: () => number;
   /** Returns a unique report id. */
   nextId: () => string;
@@ -112,7 +112,7 @@
   }
 
   /** Adds a crash observed by this instance. */
-  crashed(crash: TargetCrash): void {
+  addCrash(crash: TargetCrash): void {
     this.addToReport((builder) => builder.addCrash(crash));
   }
 
@@ -122,18 +122,18 @@
   }
 
   /** Cursor of the latest report that this instance has for its peers. */
-  get mark(): ReportMark {
+  get mark(): ReportCursor {
     return this.forwarded.mark;
   }
 
   /** Returns reports that the store may not have yet, after a peer's cursor. */
-  after(mark: ReportMark | undefined): PassedReports {
+  after(mark: ReportCursor | undefined): ForwardedReports {
     return this.forwarded.after(mark);
   }
 
   /** Adds reports from a peer. The peer may be unable to write them, so this instance does if it reaches the store. */
   hear(reports: readonly ForwardedReport[], storeReached: boolean): void {
-    const { store, book: index, log } = this.options;
+    const { store, index, log } = this.options;
     const newReports = reports.filter(({ id }) => !index.knows(store.reportKey(id)));
     if (newReports.length === 0) return;
     newReports.forEach((received) => {
@@ -146,7 +146,7 @@
   }
 
   /** Stops forwarding a report that has been written to the store. */
-  stored(key: string): void {
+  markStored(key: string): void {
     this.forwarded.drop(key);
   }
 
@@ -156,7 +156,7 @@
    * whether the store currently has a report.
    */
   restored(isStored: (key: string) => boolean, outdated: readonly string[]): void {
-    const { book: index, fleetSize, random, log } = this.options;
+    const { index, fleetSize, random, log } = this.options;
     const lost = index.all().filter(({ key }) => !isStored(key));
     if (lost.length > 0) log('lost by the store', lost.map(({ key }) => key).join(' '));
     lost.filter(({ key }) => this.ownKeys.has(key)).forEach((each) => this.refile(each));
@@ -186,7 +186,7 @@
 
   /** Indexes a report before the store has it, ordered after all reports so far. */
   private indexUnwritten(id: string, report: CrashReport): void {
-    const { store, book: index } = this.options;
+    const { store, index } = this.options;
     this.filed += 1;
     const position = {
       epoch: this.options.epoch(),
@@ -198,7 +198,7 @@
   private refile({ key, report, place }: ReturnType<CrashReportIndex['all']>[number]): void {
     const id = this.options.store.reportId(key);
     const isPending = this.builder?.id === id || this.waiting.some((each) => each.id === id);
-    if (isPending || !this.options.book.knows(key)) return;
+    if (isPending || !this.options.index.knows(key)) return;
     const isWritten = place.revision < UNWRITTEN_BASE_REVISION;
     this.enqueue({ id, report: isWritten ? { ...report, place } : report });
   }
@@ -263,13 +263,13 @@
     }
     const at = this.waiting.findIndex((each) => each.id === id);
     if (at >= 0) this.waiting.splice(at, 1);
-    this.stored(store.reportKey(id));
+    this.markStored(store.reportKey(id));
     log('filed', `${id}: ${report.crashes.length} crashes, ${report.answered.length} answered`);
     return true;
   }
 
   private sweepExpired(): void {
-    const { book: index } = this.options;
+    const { index } = this.options;
     // The copy from which a store is restored is far more recent than the previous sweep.
     this.removed.clear();
     const keys = index.olderThan(REPORT_RETENTION_MS);
@@ -277,7 +277,7 @@
   }
 
   private remove(keys: readonly string[]): void {
-    const { book: index, store, log } = this.options;
+    const { index, store, log } = this.options;
     const failed = (failure: StoreFailure) =>
       log('failed', `removal of expired reports: ${failure.message}`);
     const removed = () => {
--- a/packages/fleet/src/deferredRemovals.ts
+++ b/packages/fleet/src/deferredRemovals.ts
@@ -5,8 +5,8 @@
  * their removals immediately would empty the registry, and every request would
  * be rejected until the entries are written again.
  */
-import type { Beliefs } from './clusterState';
-import type { FactChange, FactRecord } from './records';
+import type { ClusterState } from './clusterState';
+import type { RecordChange, StoreRecord } from './records';
 
 /** How long removals are deferred, ms, after a restore of the store or an outage that affected all peers. */
 export const REMOVAL_DEFERRAL_MS = 2200;
@@ -15,17 +15,17 @@
 
 /** Removals that have not been applied yet. Times are monotonic, ms. */
 export class DeferredRemovals {
-  private readonly held = new Map<string, FactChange>();
+  private readonly held = new Map<string, RecordChange>();
 
   /** Records that the store lost, in the last state in which it had them. */
-  private readonly lost = new Map<string, FactRecord>();
+  private readonly lost = new Map<string, StoreRecord>();
 
   private deferUntil = 0;
 
   private releaseTimer: NodeJS.Timeout | undefined;
 
   constructor(
-    private readonly clusterState: Beliefs,
+    private readonly clusterState: ClusterState,
     private readonly now: () => number,
     private readonly isStoreFollowed: () => boolean,
   ) {}
@@ -42,12 +42,12 @@
   }
 
   /** Adds a deferred removal. */
-  add(removal: FactChange): void {
+  add(removal: RecordChange): void {
     this.held.set(removal.key, removal);
   }
 
   /** Remembers the last state of a record that the store lost. */
-  rememberLost(record: FactRecord | undefined): void {
+  rememberLost(record: StoreRecord | undefined): void {
     if (record && record.revision > 0) this.lost.set(record.key, record);
   }
 
@@ -76,7 +76,7 @@
       return;
     }
     this.held.forEach((change, key) => {
-      this.clusterState.take(change);
+      this.clusterState.applyChange(change);
       const lost = this.lost.get(key);
       if (lost) this.clusterState.removed.set(key, lost);
     });
--- a/packages/fleet/src/doubtedRecords.ts
+++ b/packages/fleet/src/doubtedRecords.ts
@@ -2,8 +2,8 @@
  * Removed records that reappeared when the store was restored from an older copy.
  * Their writers may no longer exist, and the store may remove them again.
  */
-import type { Beliefs } from './clusterState';
-import type { Fact, FactChange, FactRecord } from './records';
+import type { ClusterState } from './clusterState';
+import type { RecordValue, RecordChange, StoreRecord } from './records';
 import { REGISTRATION_TTL_MS } from './registration';
 
 /** A doubted record is accepted if it still exists after this time, ms: three heartbeats, after which the entry of a silent writer is removed, plus the time to learn of the removal. */
@@ -11,22 +11,22 @@
 /** The same for an instance entry, which is removed when its lease expires. */
 const INSTANCE_DOUBT_PERIOD_MS = REGISTRATION_TTL_MS + 1000;
 
-const isLeaving = (fact: Fact | undefined): boolean =>
+const isLeaving = (fact: RecordValue | undefined): boolean =>
   fact?.kind === 'target' && fact.target.leaving;
 
 /** Keeps doubted records out of the cluster state for a limited time. */
 export class DoubtedRecords {
-  private readonly doubted = new Map<string, FactRecord>();
+  private readonly doubted = new Map<string, StoreRecord>();
 
-  constructor(private readonly clusterState: Beliefs) {}
+  constructor(private readonly clusterState: ClusterState) {}
 
   /** Lists the doubted records, for a peer. */
-  list(): FactRecord[] {
+  list(): StoreRecord[] {
     return [...this.doubted.values()];
   }
 
   /** Withholds a record and accepts it after the doubt period if it still exists. A target that was leaving is not accepted again. */
-  add(listed: FactRecord): void {
+  add(listed: StoreRecord): void {
     const { clusterState, doubted } = this;
     const { key } = listed;
     if (doubted.has(key)) return;
@@ -42,7 +42,7 @@
   }
 
   /** Whether `change` is not newer than the doubted record under its key; a newer change ends the doubt. */
-  covers({ key, revision }: FactChange): boolean {
+  covers({ key, revision }: RecordChange): boolean {
     const record = this.doubted.get(key);
     if (!record) return false;
     if (revision <= record.revision) return true;
--- a/packages/fleet/src/follower.ts
+++ b/packages/fleet/src/follower.ts
@@ -23,13 +23,13 @@
  */
 import type { BehaviorSubject } from 'rxjs';
 import { Subject, firstValueFrom, race, timer } from 'rxjs';
-import type { StoreMoment } from '@cardamomladder/types';
-import { momentOf, pause } from '@cardamomladder/types';
-import type { Beliefs } from './clusterState';
+import type { StorePosition } from '@cardamomladder/types';
+import { positionOf, pause } from '@cardamomladder/types';
+import type { ClusterState } from './clusterState';
 import { ChangeLog } from './changeLog';
-import type { FactChanges, FactList, InstanceEntry, Store, StoreFailure } from './records';
+import type { RecordChanges, RecordList, InstanceEntry, Store, StoreFailure } from './records';
 import { StateUpdater } from './stateUpdater';
-import type { PeerQuestion, PeerWatch, SnapshotQuestion } from './peerQueries';
+import type { PeerQuery, PeerWatch, SnapshotQuery } from './peerQueries';
 import { relaysFor } from './relay';
 import type { StoreStatus } from './storeConnectivity';
 import { StoreConnectivity } from './storeConnectivity';
@@ -54,16 +54,16 @@
 
 /** Follower events for the log: a full list, applied or not, or a compacted history; with the position followed so far. */
 export type FollowerEvent =
-  | ({ event: 'listed'; followed: StoreMoment; taken: boolean } & StoreMoment)
-  | { event: 'history gone'; followed: StoreMoment };
+  | ({ event: 'listed'; followed: StorePosition; taken: boolean } & StorePosition)
+  | { event: 'history gone'; followed: StorePosition };
 
 /** Options of `follow`. */
 export interface FollowerOptions {
   store: Store;
-  beliefs: Beliefs;
+  clusterState: ClusterState;
   self: InstanceEntry;
-  askPeers: PeerQuestion;
-  askSnapshot: SnapshotQuestion;
+  queryPeers: PeerQuery;
+  requestSnapshot: SnapshotQuery;
   watchPeer: PeerWatch;
   /** Monotonic clock, ms. */
   now: () => number;
@@ -79,23 +79,14 @@
   /** Returns the time since the store last responded to this instance directly, ms. */
   storeHeardMsAgo: () => number;
   /** Lists all records, for a peer. */
-  list: () => FactList;
+  list: () => RecordList;
   stop: () => void;
 }
 
 /** Starts following the store; returns immediately. */
 export const follow = (options: FollowerOptions): Follower => {
-  const {
-    store,
-    beliefs: clusterState,
-    self,
-    askPeers: queryPeers,
-    askSnapshot: requestSnapshot,
-    watchPeer,
-    now,
-    random,
-    report,
-  } = options;
+  const { store, clusterState, self, queryPeers, requestSnapshot, watchPeer, now, random, report } =
+    options;
   const changeLog = new ChangeLog(() => clusterState.size);
   const updater = new StateUpdater(clusterState, now, isStoreFollowed);
   let stopped = false;
@@ -116,14 +107,14 @@
       ({ id }) => now() >= (avoidedUntil.get(id) ?? 0),
     );
   };
-  const applyList = (list: FactList): void => {
-    const followed = clusterState.moment;
+  const applyList = (list: RecordList): void => {
+    const followed = clusterState.position;
     const taken = updater.applyList(list);
-    report({ event: 'listed', ...momentOf(list), followed, taken });
+    report({ event: 'listed', ...positionOf(list), followed, taken });
     if (taken) changeLog.reset(list);
   };
   /** Applies changes after the requested revision; changes from a later epoch require a list. */
-  const applyChanges = (after: number, received: FactChanges): void => {
+  const applyChanges = (after: number, received: RecordChanges): void => {
     // Apply before logging: the capacity of the change log depends on the number of known records.
     if (updater.applyChanges(received)) changeLog.add(after, received);
     else if (received.epoch > clusterState.epoch) listNext = true;
@@ -140,7 +131,7 @@
     return connectivity.isStoreFollowed;
   }
   async function updateFromPeers(): Promise<void> {
-    const known = clusterState.moment;
+    const known = clusterState.position;
     const answers = await queryPeers(known);
     if (connectivity.status.value.reached || stopped) return;
     connectivity.updatePeerReach(answers.map(({ storeReachedForMs = 0 }) => storeReachedForMs));
@@ -150,11 +141,11 @@
     });
   }
 
-  const startFromList = (list: FactList): undefined => {
+  const startFromList = (list: RecordList): undefined => {
     applyList(list);
     listNext = false;
   };
-  const startFromPeer = (list: FactList): undefined => {
+  const startFromPeer = (list: RecordList): undefined => {
     connectivity.markReachable();
     startFromList(list);
   };
@@ -162,7 +153,7 @@
   const startFromRelay = async (): Promise<boolean> => {
     const [relay] = clusterState.revision > 0 ? relays() : [];
     if (!relay) return false;
-    const received = await watchPeer(relay, clusterState.moment, RELAY_WAIT_MS);
+    const received = await watchPeer(relay, clusterState.position, RELAY_WAIT_MS);
     if (received.isErr() || !received.value.list) return false;
     startFromList(received.value.list);
     return true;
@@ -194,7 +185,7 @@
   };
   /** A failed relay is not treated as a store failure: the next step tries another relay or the store. */
   const stepRelay = async (relay: InstanceEntry): Promise<undefined> => {
-    const known = clusterState.moment;
+    const known = clusterState.position;
     const askedAt = now();
     const received = await watchPeer(relay, known, connectivity.isSuspected ? 0 : RELAY_WAIT_MS);
     if (received.isErr()) connectivity.suspect();
@@ -243,7 +234,7 @@
       return;
     }
     connectivity.answered();
-    report({ event: 'history gone', followed: clusterState.moment });
+    report({ event: 'history gone', followed: clusterState.position });
     listNext = true;
     historyLosses += 1;
   };
--- a/packages/fleet/src/forwardedReports.ts
+++ b/packages/fleet/src/forwardedReports.ts
@@ -10,7 +10,7 @@
 import type { CrashReport } from '@cardamomladder/types';
 
 /** Maximum number of reports per exchange: 20 reports with a dozen crashes each are about 60 kB, and the next request fetches the rest. */
-export const REPORTS_AT_A_TIME = 20;
+export const MAX_REPORTS_PER_EXCHANGE = 20;
 /** Maximum number of kept reports: the same as the maximum waiting to be written to the store. */
 const MAX_KEPT_REPORTS = 200;
 
@@ -23,19 +23,19 @@
 }
 
 /** Position in an instance's report log up to which a peer knows its reports. */
-export interface ReportMark {
+export interface ReportCursor {
   /** Identifies the process of an instance; a new process numbers its reports from the beginning. */
   log: string;
   sequence: number;
 }
 
 /** Whether a peer whose cursor is `known` has all reports up to `mark`. */
-export const isCovered = (mark: ReportMark, known: ReportMark | undefined): boolean =>
+export const hasAllReports = (mark: ReportCursor, known: ReportCursor | undefined): boolean =>
   mark.sequence === 0 || (known?.log === mark.log && known.sequence >= mark.sequence);
 
 /** A batch of reports and the cursor after it. */
-export interface PassedReports {
-  mark: ReportMark;
+export interface ForwardedReports {
+  mark: ReportCursor;
   reports: ForwardedReport[];
 }
 
@@ -63,7 +63,7 @@
   ) {}
 
   /** Cursor of the latest report; its sequence is 0 while no report is kept. */
-  get mark(): ReportMark {
+  get mark(): ReportCursor {
     this.dropExpired();
     return { log: this.name, sequence: this.kept.size === 0 ? 0 : this.lastSequence };
   }
@@ -83,11 +83,11 @@
   }
 
   /** Returns the next batch of reports after a peer's cursor. */
-  after(mark: ReportMark | undefined): PassedReports {
+  after(mark: ReportCursor | undefined): ForwardedReports {
     this.dropExpired();
     const afterSequence = mark?.log === this.name ? mark.sequence : 0;
     const newer = [...this.kept.values()].filter(({ sequence }) => sequence > afterSequence);
-    const next = newer.slice(0, REPORTS_AT_A_TIME);
+    const next = newer.slice(0, MAX_REPORTS_PER_EXCHANGE);
     const last = newer.length > next.length ? next.at(-1) : undefined;
     return {
       mark: { log: this.name, sequence: last?.sequence ?? this.sequence },
--- a/packages/fleet/src/highCapacity.ts
+++ b/packages/fleet/src/highCapacity.ts
@@ -17,7 +17,9 @@
   values.reduce((total, value) => total + value, 0);
 
 /** Returns the high-capacity instances of a group, or the whole group if they are too few or too small to carry the load. */
-export const strongOf = (group: readonly InstanceEntry[]): readonly InstanceEntry[] => {
+export const highCapacityInstances = (
+  group: readonly InstanceEntry[],
+): readonly InstanceEntry[] => {
   const maxCores = Math.max(...group.map(({ capacity }) => capacity.cores));
   const maxLinkMbps = Math.max(...group.map(({ capacity }) => capacity.linkMbps));
   const highCapacity = group.filter(
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,9 +1,9 @@
 export type {
-  Fact,
-  FactChange,
-  FactChanges,
-  FactList,
-  FactRecord,
+  RecordValue,
+  RecordChange,
+  RecordChanges,
+  RecordList,
+  StoreRecord,
   InstanceCapacity,
   InstanceEntry,
   RegistrationLease,
@@ -11,26 +11,32 @@
   StoreFailure,
   TargetEntry,
 } from './records';
-export type { BeliefChange, StoreRestored } from './clusterState';
-export { Beliefs } from './clusterState';
+export type { ClusterStateChange, StoreRestored } from './clusterState';
+export { ClusterState } from './clusterState';
 export { ChangeLog } from './changeLog';
 export type { Follower, FollowerEvent, FollowerOptions } from './follower';
 export type {
-  FollowedFacts,
-  PeerAnswer,
-  PeerQuestion,
+  RelayedChanges,
+  PeerResponse,
+  PeerQuery,
   PeerWatch,
-  SnapshotQuestion,
+  SnapshotQuery,
 } from './peerQueries';
 export type { StoreStatus } from './storeConnectivity';
 export type { RegisteredInstance } from './relay';
 export { relayCount, relaysFor } from './relay';
 export type { UnpackFailure } from './packedRecords';
-export { PackedChanges, PackedFacts, pack, unpackChanges, unpackFacts } from './packedRecords';
+export {
+  PackedChangesCache,
+  PackedListCache,
+  pack,
+  unpackChanges,
+  unpackList,
+} from './packedRecords';
 export { isEarlierEntry } from './recordFreshness';
-export { strongOf } from './highCapacity';
-export type { ForwardedReport, PassedReports, ReportMark } from './forwardedReports';
-export { REPORTS_AT_A_TIME, isCovered } from './forwardedReports';
+export { highCapacityInstances } from './highCapacity';
+export type { ForwardedReport, ForwardedReports, ReportCursor } from './forwardedReports';
+export { MAX_REPORTS_PER_EXCHANGE, hasAllReports } from './forwardedReports';
 export { CrashReports, REPORT_RETENTION_MS } from './crashReports';
 export { WATCH_WAIT_MS, follow } from './follower';
 export type { Registration, RegistrationOptions } from './registration';
--- a/packages/fleet/src/packedRecords.ts
+++ b/packages/fleet/src/packedRecords.ts
@@ -14,9 +14,9 @@
 import { deflateRaw, inflateRaw, inflateRawSync } from 'node:zlib';
 import { LRUCache } from 'lru-cache';
 import { ResultAsync, errAsync, okAsync } from 'neverthrow';
-import type { StoreMoment } from '@cardamomladder/types';
-import { compareMoments, momentOf } from '@cardamomladder/types';
-import type { FactChange, FactList } from './records';
+import type { StorePosition } from '@cardamomladder/types';
+import { comparePositions, positionOf } from '@cardamomladder/types';
+import type { RecordChange, RecordList } from './records';
 
 /** Lowest deflate level. The list above compresses to 21 kB before base64 encoding; the highest level reaches 16 kB but is slower while dozens of requests wait. */
 const COMPRESSION_LEVEL = 1;
@@ -33,7 +33,7 @@
 const inflate = promisify<Buffer, { maxOutputLength: number }, Buffer>(inflateRaw);
 
 /** Packs a list or an array of changes. */
-export const pack = async (value: FactList | readonly FactChange[]): Promise<string> => {
+export const pack = async (value: RecordList | readonly RecordChange[]): Promise<string> => {
   const text = Buffer.from(JSON.stringify(value));
   return (await deflate(text, { level: COMPRESSION_LEVEL })).toString('base64');
 };
@@ -60,36 +60,36 @@
   ),
 );
 
-const isList = (value: unknown): value is FactList => {
-  const { records, epoch, revision } = (value ?? {}) as Partial<FactList>;
+const isList = (value: unknown): value is RecordList => {
+  const { records, epoch, revision } = (value ?? {}) as Partial<RecordList>;
   return Array.isArray(records) && Number.isInteger(epoch) && Number.isInteger(revision);
 };
 
 /** Unpacks a list received from a peer. */
-export const unpackFacts = (packed: string): ResultAsync<FactList, UnpackFailure> =>
+export const unpackList = (packed: string): ResultAsync<RecordList, UnpackFailure> =>
   readPacked(packed).andThen((value) =>
     isList(value)
       ? okAsync(value)
-      : errAsync<FactList, UnpackFailure>(
+      : errAsync<RecordList, UnpackFailure>(
           unreadable(
             "a peer's list has an unexpected format; list from the store, and upgrade that peer",
           ),
         ),
   );
 
-const isChangeArray = (value: unknown): value is FactChange[] =>
+const isChangeArray = (value: unknown): value is RecordChange[] =>
   Array.isArray(value) &&
   value.every(
-    (each: Partial<FactChange> | null) =>
+    (each: Partial<RecordChange> | null) =>
       typeof each?.key === 'string' && Number.isInteger(each.revision),
   );
 
 /** Unpacks changes received from a peer. */
-export const unpackChanges = (packed: string): ResultAsync<FactChange[], UnpackFailure> =>
+export const unpackChanges = (packed: string): ResultAsync<RecordChange[], UnpackFailure> =>
   readPacked(packed).andThen((value) =>
     isChangeArray(value)
       ? okAsync(value)
-      : errAsync<FactChange[], UnpackFailure>(
+      : errAsync<RecordChange[], UnpackFailure>(
           unreadable(
             "a peer's changes have an unexpected format; watch the store, and upgrade that peer",
           ),
@@ -97,17 +97,17 @@
   );
 
 /** Caches the packed form of the latest list. */
-export class PackedFacts {
-  private packed: { position: StoreMoment; text: Promise<string> } | undefined;
+export class PackedListCache {
+  private packed: { position: StorePosition; text: Promise<string> } | undefined;
 
-  constructor(private readonly source: () => FactList) {}
+  constructor(private readonly source: () => RecordList) {}
 
   /** Returns the packed list as of at least `position`, the latest known position. */
-  at(position: StoreMoment): Promise<string> {
-    if (this.packed && compareMoments(this.packed.position, position) === 0)
+  at(position: StorePosition): Promise<string> {
+    if (this.packed && comparePositions(this.packed.position, position) === 0)
       return this.packed.text;
     const text = pack(this.source());
-    this.packed = { position: momentOf(position), text };
+    this.packed = { position: positionOf(position), text };
     return text;
   }
 }
@@ -116,14 +116,14 @@
 const MAX_CACHED_RANGES = 8;
 
 /** Caches packed change ranges, so that each range is packed once for all followers. */
-export class PackedChanges {
+export class PackedChangesCache {
   private readonly packed = new LRUCache<string, Promise<string>>({ max: MAX_CACHED_RANGES });
 
   /** Returns the packed changes after a position, up to the revision `upTo` in the same epoch. */
   between(
-    { epoch, revision: after }: StoreMoment,
+    { epoch, revision: after }: StorePosition,
     upTo: number,
-    changes: readonly FactChange[],
+    changes: readonly RecordChange[],
   ): Promise<string> {
     const range = `${epoch}: ${after}-${upTo}`;
     const known = this.packed.get(range);
--- a/packages/fleet/src/peerQueries.ts
+++ b/packages/fleet/src/peerQueries.ts
@@ -1,26 +1,26 @@
 /** Queries that an instance sends to its peers instead of the store. */
 import type { ResultAsync } from 'neverthrow';
-import type { StoreMoment } from '@cardamomladder/types';
-import type { FactChanges, FactList, InstanceEntry, StoreFailure } from './records';
+import type { StorePosition } from '@cardamomladder/types';
+import type { RecordChanges, RecordList, InstanceEntry, StoreFailure } from './records';
 
 /** A peer's response: the changes after the requested revision, or the full list if the peer no longer keeps these changes. `storeReachedForMs` is how long the peer has been connected to the store; unset while it is not. */
-export interface PeerAnswer {
+export interface PeerResponse {
   storeReachedForMs?: number;
-  changes?: FactChanges;
-  list?: FactList;
+  changes?: RecordChanges;
+  list?: RecordList;
 }
 
 /** Requests the full list from a peer named in the settings; undefined if no such peer has the list and reaches the store. */
-export type SnapshotQuestion = () => Promise<FactList | undefined>;
+export type SnapshotQuery = () => Promise<RecordList | undefined>;
 
 /** Queries several peers for records newer than `known`; an empty array if none responds. */
-export type PeerQuestion = (known: StoreMoment) => Promise<PeerAnswer[]>;
+export type PeerQuery = (known: StorePosition) => Promise<PeerResponse[]>;
 
 /** Changes from a relay, and the time since the store last responded to that relay, ms. */
-export interface FollowedFacts extends FactChanges {
+export interface RelayedChanges extends RecordChanges {
   storeHeardMsAgo: number;
   /** The full list instead of changes, if the relay no longer keeps these changes. */
-  list?: FactList;
+  list?: RecordList;
 }
 
 /**
@@ -29,6 +29,6 @@
  */
 export type PeerWatch = (
   peer: InstanceEntry,
-  known: StoreMoment,
+  known: StorePosition,
   waitMs: number,
-) => ResultAsync<FollowedFacts, StoreFailure>;
+) => ResultAsync<RelayedChanges, StoreFailure>;
--- a/packages/fleet/src/recordFreshness.ts
+++ b/packages/fleet/src/recordFreshness.ts
@@ -4,7 +4,7 @@
  * writes also get lower revisions than before.
  */
 import { isDeepStrictEqual } from 'node:util';
-import type { Fact, FactRecord, TargetEntry } from './records';
+import type { RecordValue, StoreRecord, TargetEntry } from './records';
 
 /** Whether a listed record is new, already known, or an outdated state. */
 export type Freshness = 'new' | 'known' | 'outdated';
@@ -17,7 +17,7 @@
     ? entry.startedAt < known.startedAt
     : entry.writes < known.writes;
 
-const isEarlierValue = (fact: Fact, known: Fact): boolean => {
+const isEarlierValue = (fact: RecordValue, known: RecordValue): boolean => {
   if (fact.kind === 'configuration' && known.kind === 'configuration')
     return fact.configuration.version < known.configuration.version;
   if (fact.kind === 'target' && known.kind === 'target')
@@ -27,9 +27,9 @@
 
 /** Compares a listed record with the current record under its key, or with a recently removed one. */
 export const freshnessOf = (
-  listed: FactRecord,
-  current: FactRecord | undefined,
-  removed: FactRecord | undefined,
+  listed: StoreRecord,
+  current: StoreRecord | undefined,
+  removed: StoreRecord | undefined,
 ): Freshness => {
   const known = current ?? removed;
   if (!known) return 'new';
--- a/packages/fleet/src/records.ts
+++ b/packages/fleet/src/records.ts
@@ -14,7 +14,7 @@
   ServiceName,
   SocketAddress,
   StoreEpoch,
-  StoreMoment,
+  StorePosition,
   TargetId,
 } from '@cardamomladder/types';
 
@@ -55,7 +55,7 @@
 }
 
 /** The decoded value of a record; `invalid` stands for an entry that could not be decoded. */
-export type Fact =
+export type RecordValue =
   | { kind: 'configuration'; configuration: Configuration }
   | { kind: 'target'; target: TargetEntry }
   | { kind: 'evacuation'; failureDomain: FailureDomainName }
@@ -64,27 +64,27 @@
   | { kind: 'invalid'; problem: string };
 
 /** A value with its key and the store revision at which it was last written. */
-export interface FactRecord {
+export interface StoreRecord {
   key: string;
   revision: number;
-  fact: Fact;
+  fact: RecordValue;
 }
 
 /** A change to one key: the new record, or its removal. */
-export type FactChange = FactRecord | { key: string; revision: number; removed: true };
+export type RecordChange = StoreRecord | { key: string; revision: number; removed: true };
 
 /** All records as of at least `revision`. */
-export interface FactList extends StoreMoment {
-  records: FactRecord[];
+export interface RecordList extends StorePosition {
+  records: StoreRecord[];
   /** Records that the store lost; some may be written again later. */
-  missing?: FactRecord[];
+  missing?: StoreRecord[];
   /** Removed records that reappeared when the store was restored from an older copy. */
-  doubted?: FactRecord[];
+  doubted?: StoreRecord[];
 }
 
 /** Changes after the requested revision up to `revision`, in order. */
-export interface FactChanges extends StoreMoment {
-  changes: FactChange[];
+export interface RecordChanges extends StorePosition {
+  changes: RecordChange[];
 }
 
 /**
@@ -109,16 +109,16 @@
 /** Client interface to the platform's store. Its methods return failures as results and do not throw. */
 export interface Store {
   /** Lists all records from the store's latest state. */
-  list: () => ResultAsync<FactList, StoreFailure>;
+  list: () => ResultAsync<RecordList, StoreFailure>;
   /** Waits up to `waitMs` for changes after `revision`. */
-  watch: (revision: number, waitMs: number) => ResultAsync<FactChanges, StoreFailure>;
+  watch: (revision: number, waitMs: number) => ResultAsync<RecordChanges, StoreFailure>;
   /** Grants a lease that expires unless it is renewed. */
   grantLease: (ttlMs: number) => ResultAsync<RegistrationLease, StoreFailure>;
   renewLease: (id: number) => ResultAsync<void, StoreFailure>;
   /** Revokes a lease and removes the entries registered under it. */
   endLease: (id: number) => ResultAsync<void, StoreFailure>;
   /** Writes the instance's entry under a lease and returns the store position of the write. */
-  register: (instance: InstanceEntry, leaseId: number) => ResultAsync<StoreMoment, StoreFailure>;
+  register: (instance: InstanceEntry, leaseId: number) => ResultAsync<StorePosition, StoreFailure>;
   /** Returns the key of an instance's entry, used to detect its removal. */
   instanceKey: (id: InstanceId) => string;
   /** Writes a crash report without a lease; the write is idempotent. */
--- a/packages/fleet/src/registration.ts
+++ b/packages/fleet/src/registration.ts
@@ -8,8 +8,8 @@
  * may lack the entry and the lease, and may have assigned the lease id to
  * another instance.
  */
-import type { StoreMoment } from '@cardamomladder/types';
-import type { Beliefs } from './clusterState';
+import type { StorePosition } from '@cardamomladder/types';
+import type { ClusterState } from './clusterState';
 import type { InstanceEntry, Store, StoreFailure } from './records';
 
 /** Lease TTL, ms: dead instances must disappear from directory responses within 6 s, and callers cache responses for 2 s. */
@@ -24,13 +24,13 @@
 /** A registration that is being maintained. */
 export interface Registration {
   /** Removes the entry, so that the directory no longer lists this instance. */
-  leave: () => Promise<void>;
+  deregister: () => Promise<void>;
 }
 
 /** Options of `startRegistration`. */
 export interface RegistrationOptions {
   store: Store;
-  beliefs: Beliefs;
+  clusterState: ClusterState;
   self: InstanceEntry;
   now: () => number;
   /** Called for each registration, lapse, failure and removal. */
@@ -39,12 +39,12 @@
 
 /** Registers this instance and maintains the registration until `deregister` is called. */
 export const startRegistration = (options: RegistrationOptions): Registration => {
-  const { store, beliefs: clusterState, self, now, report } = options;
+  const { store, clusterState, self, now, report } = options;
   const key = store.instanceKey(self.id);
   let leaseId: number | undefined;
   let writtenAt = 0;
   /** Store position at which the entry was written. */
-  let entryPosition: StoreMoment | undefined;
+  let entryPosition: StorePosition | undefined;
   let stopped = false;
   let busy = false;
   /** Whether to run another tick as soon as the current one completes. */
@@ -132,7 +132,7 @@
   });
 
   return {
-    leave: async () => {
+    deregister: async () => {
       stopped = true;
       clearInterval(timer);
       restoredSubscription.unsubscribe();
--- a/packages/fleet/src/relay.ts
+++ b/packages/fleet/src/relay.ts
@@ -13,7 +13,7 @@
  * itself.
  */
 import type { InstanceEntry } from './records';
-import { strongOf } from './highCapacity';
+import { highCapacityInstances } from './highCapacity';
 
 /** Regions with up to this many instances have one relay: it fails no more often than any other instance, and its followers then watch the store themselves. */
 const SINGLE_RELAY_MAX_INSTANCES = 16;
@@ -37,7 +37,7 @@
 /** Selects the relays of a region: high-capacity instances first, then by registration revision. */
 const selectRelays = (group: readonly RegisteredInstance[]): InstanceEntry[] => {
   const highCapacityIds = new Set(
-    strongOf(group.map(({ instance }) => instance)).map(({ id }) => id),
+    highCapacityInstances(group.map(({ instance }) => instance)).map(({ id }) => id),
   );
   const rankOf = ({ instance }: RegisteredInstance) => (highCapacityIds.has(instance.id) ? 0 : 1);
   return [...group]
--- a/packages/fleet/src/reportBuilder.ts
+++ b/packages/fleet/src/reportBuilder.ts
@@ -1,7 +1,7 @@
 /** Builds a crash report from individual observations. */
 import type {
   AnsweredRequest,
-  AskedRequest,
+  IssuedRequest,
   CrashReport,
   TargetCrash,
   TargetRun,
@@ -12,7 +12,7 @@
 
 /** Collects the observations made since the last report. */
 export class ReportBuilder {
-  private readonly crashes = new Map<TargetRun, AskedRequest[]>();
+  private readonly crashes = new Map<TargetRun, IssuedRequest[]>();
 
   private readonly answered: AnsweredRequest[] = [];
 
--- a/packages/fleet/src/stateUpdater.ts
+++ b/packages/fleet/src/stateUpdater.ts
@@ -5,18 +5,18 @@
  * they are repeated, and contains outdated states. Neither is treated as a
  * change: known records are kept and take over the revisions of the new epoch.
  */
-import type { Beliefs } from './clusterState';
+import type { ClusterState } from './clusterState';
 import { DoubtedRecords } from './doubtedRecords';
-import type { Fact, FactChange, FactChanges, FactList, FactRecord } from './records';
+import type { RecordValue, RecordChange, RecordChanges, RecordList, StoreRecord } from './records';
 import { DeferredRemovals } from './deferredRemovals';
 import type { Freshness } from './recordFreshness';
 import { freshnessOf } from './recordFreshness';
 
 /** Whether a record is kept after the store has lost it: an older configuration is never activated, and crash reports are written again. */
-const survivesStoreLoss = (fact: Fact | undefined): boolean =>
+const survivesStoreLoss = (fact: RecordValue | undefined): boolean =>
   fact?.kind === 'configuration' || fact?.kind === 'crash-report';
 
-const canExpire = (fact: Fact | undefined): boolean =>
+const canExpire = (fact: RecordValue | undefined): boolean =>
   (fact?.kind === 'target' && !fact.target.leaving) || fact?.kind === 'instance';
 
 /** Applies incoming changes and lists to the cluster state. */
@@ -26,7 +26,7 @@
   private readonly doubted: DoubtedRecords;
 
   constructor(
-    private readonly clusterState: Beliefs,
+    private readonly clusterState: ClusterState,
     /** Monotonic clock, ms. */
     now: () => number,
     isStoreFollowed: () => boolean,
@@ -41,7 +41,7 @@
   }
 
   /** Applies changes that follow the current state; returns false if they belong to another store epoch. */
-  applyChanges({ epoch, changes, revision }: FactChanges): boolean {
+  applyChanges({ epoch, changes, revision }: RecordChanges): boolean {
     if (epoch !== this.clusterState.epoch) return false;
     // A list from a peer may have advanced the state in the meantime.
     changes
@@ -52,7 +52,7 @@
   }
 
   /** Applies a list; returns false if the current state is later. */
-  applyList(list: FactList): boolean {
+  applyList(list: RecordList): boolean {
     const { clusterState } = this;
     if (clusterState.revision === 0) this.applyFirst(list);
     else if (list.epoch > clusterState.epoch) this.applyRestored(list);
@@ -63,9 +63,9 @@
   }
 
   /** Returns the current state for a peer. Records that the store lacks are listed separately, since no change will announce their removal. */
-  list(): FactList {
+  list(): RecordList {
     const { records, ...position } = this.clusterState.list();
-    const isMissing = ({ key, revision }: FactRecord) => revision === 0 || this.removals.has(key);
+    const isMissing = ({ key, revision }: StoreRecord) => revision === 0 || this.removals.has(key);
     const missing = records.filter(isMissing);
     const doubted = this.doubted.list();
     return {
@@ -76,14 +76,14 @@
     };
   }
 
-  private applyFirst(list: FactList): void {
+  private applyFirst(list: RecordList): void {
     this.clusterState.startEpoch(list);
     this.applyDoubted(list);
     list.records.forEach((record) => this.applyListed(record));
   }
 
   /** Applies a list of the current epoch and removes the records it lacks. */
-  private applySameEpoch(list: FactList): void {
+  private applySameEpoch(list: RecordList): void {
     const { clusterState } = this;
     const { records, revision, missing = [] } = list;
     this.doubted.retainOnly(new Set(records.map(({ key }) => key)));
@@ -104,9 +104,9 @@
   }
 
   /** Moves all known records to the epoch and the revisions of a list from the restored store. */
-  private applyRestored(list: FactList): void {
+  private applyRestored(list: RecordList): void {
     const { clusterState } = this;
-    const followed = clusterState.moment;
+    const followed = clusterState.position;
     this.doubted.clear();
     this.applyDoubted(list);
     const missing = clusterState.keysMissingFrom(list);
@@ -115,10 +115,10 @@
     this.removals.startDeferring();
     const outdated = list.records.filter((record) => this.reconcile(record) === 'outdated');
     missing.forEach((key) => this.markMissing(key, list.revision));
-    clusterState.restored({ ...clusterState.moment, followed, missing, outdated });
+    clusterState.restored({ ...clusterState.position, followed, missing, outdated });
   }
 
-  private reconcile(listed: FactRecord): Freshness {
+  private reconcile(listed: StoreRecord): Freshness {
     const { clusterState } = this;
     const { key, revision } = listed;
     const current = clusterState.recordOf(key);
@@ -131,7 +131,7 @@
   }
 
   /** Applies a listed record, unless it is a removed record that reappeared. */
-  private applyListed(listed: FactRecord): void {
+  private applyListed(listed: StoreRecord): void {
     const { clusterState } = this;
     const { key } = listed;
     const removed = clusterState.hasRecord(key) ? undefined : clusterState.removed.get(key);
@@ -140,9 +140,9 @@
   }
 
   /** Applies a peer's information about records that were removed before the store was restored. */
-  private applyDoubted({ doubted = [] }: FactList): void {
+  private applyDoubted({ doubted = [] }: RecordList): void {
     doubted.forEach((record) => {
-      this.clusterState.remove(record.key, record.revision);
+      this.clusterState.removeRecord(record.key, record.revision);
       this.doubted.add(record);
     });
   }
@@ -152,13 +152,13 @@
     const { clusterState, removals } = this;
     removals.rememberLost(clusterState.recordOf(key));
     clusterState.setRevision(key, 0);
-    if (survivesStoreLoss(clusterState.factOf(key))) return;
+    if (survivesStoreLoss(clusterState.valueAt(key))) return;
     removals.add({ key, revision, removed: true });
     removals.startDeferring();
   }
 
   /** Adds records that a peer holds and the store lacks, unless they are already known here. */
-  private applyMissing({ missing = [], revision }: FactList): void {
+  private applyMissing({ missing = [], revision }: RecordList): void {
     const { clusterState } = this;
     const unknown = missing.filter(
       ({ key }) => !clusterState.hasRecord(key) && !clusterState.removed.get(key),
@@ -169,14 +169,14 @@
     });
   }
 
-  private applyChange(change: FactChange): void {
+  private applyChange(change: RecordChange): void {
     if (this.doubted.covers(change)) return;
-    const isDeferrable = 'removed' in change && canExpire(this.clusterState.factOf(change.key));
+    const isDeferrable = 'removed' in change && canExpire(this.clusterState.valueAt(change.key));
     if (isDeferrable && this.removals.isDeferring) {
       this.removals.add(change);
       return;
     }
     this.removals.resolve(change.key);
-    this.clusterState.take(change);
+    this.clusterState.applyChange(change);
   }
 }
--- a/packages/gateway/src/components.ts
+++ b/packages/gateway/src/components.ts
@@ -2,22 +2,22 @@
 import { randomUUID } from 'node:crypto';
 import type { BehaviorSubject } from 'rxjs';
 import type { Follower, InstanceEntry, Registration, Store } from '@cardamomladder/fleet';
-import { Beliefs, CrashReports, follow, startRegistration } from '@cardamomladder/fleet';
+import { ClusterState, CrashReports, follow, startRegistration } from '@cardamomladder/fleet';
 import type { InstanceSettings } from '@cardamomladder/settings';
-import { AnsweredLately, Quarantine } from '@cardamomladder/steering';
+import { RecentAnswers, Quarantine } from '@cardamomladder/steering';
 import type { GatewayMetrics } from '@cardamomladder/telemetry';
 import { gatewayMetrics, logger } from '@cardamomladder/telemetry';
 import {
   failureDomainName,
   instanceId,
-  momentOf,
+  positionOf,
   regionName,
   socketAddress,
 } from '@cardamomladder/types';
 import type { DecisionLog } from './decisionLog';
 import { decisionLog } from './decisionLog';
 import { FleetMembers } from './lifecycle/fleetMembers';
-import { NamedInstances } from './lifecycle/namedInstances';
+import { AdvertisedInstances } from './lifecycle/advertisedInstances';
 import type { Phase } from './lifecycle/phase';
 import { createPhase } from './lifecycle/phase';
 import { askPeers, askSnapshot } from './peers/ask';
@@ -25,26 +25,26 @@
 import { RecentPeers, knownInstances } from './peers/recentPeers';
 import { watchPeer } from './peers/watch';
 import { logStateChanges } from './stateChangeLog';
-import type { Wire } from './wireNames';
+import type { WireProtocol } from './wireProtocol';
 
 /** Shared components of one instance. */
 export interface Components {
   /** Returns the current settings; a reload replaces them. */
   settings: () => InstanceSettings;
   store: Store;
-  wire: Wire;
+  wire: WireProtocol;
   log: DecisionLog;
   metrics: GatewayMetrics;
   phase: BehaviorSubject<Phase>;
-  beliefs: Beliefs;
+  beliefs: ClusterState;
   self: InstanceEntry;
   recentPeers: RecentPeers;
   fleet: FleetMembers;
   /** The instances that the directory advertises to callers. */
-  named: NamedInstances;
+  named: AdvertisedInstances;
   /** Requests that are not sent to targets because they crash them. */
   quarantine: Quarantine;
-  answeredLately: AnsweredLately;
+  answeredLately: RecentAnswers;
   /** Target crashes observed by this instance. */
   crashReports: CrashReports;
   /** True while this instance accepts callers. */
@@ -66,11 +66,15 @@
 });
 
 /** Creates the quarantine, derives its content from the crash reports in the store, and logs each change. */
-const createQuarantine = (beliefs: Beliefs, log: DecisionLog, now: () => number): Quarantine => {
+const createQuarantine = (
+  beliefs: ClusterState,
+  log: DecisionLog,
+  now: () => number,
+): Quarantine => {
   const quarantine = new Quarantine(now);
   beliefs.changes.subscribe((change) => {
     if (change.kind === 'crash-report')
-      quarantine.file(change.key, momentOf(change), change.report);
+      quarantine.file(change.key, positionOf(change), change.report);
     if (change.kind === 'crash-report-gone') quarantine.drop(change.key);
   });
   quarantine.changes.subscribe((held) =>
@@ -92,7 +96,7 @@
 ): CrashReports => {
   const crashReports = new CrashReports({
     store,
-    book: quarantine,
+    index: quarantine,
     fleetSize: () => fleet.size(),
     nextId: randomUUID,
     logName: randomUUID(),
@@ -102,7 +106,7 @@
     log: (event, detail) => log.write('crash-report', undefined, { event, detail }),
   });
   beliefs.changes.subscribe((change) => {
-    if (change.kind === 'crash-report') crashReports.stored(change.key);
+    if (change.kind === 'crash-report') crashReports.markStored(change.key);
     if (change.kind === 'restored')
       crashReports.restored(
         (key) => beliefs.revisionOf(key) > 0,
@@ -113,7 +117,7 @@
 };
 
 /** Creates the set of recently seen peers; a peer is dropped when its registry entry is removed. */
-const createRecentPeers = (beliefs: Beliefs, now: () => number): RecentPeers => {
+const createRecentPeers = (beliefs: ClusterState, now: () => number): RecentPeers => {
   const recentPeers = new RecentPeers(now);
   beliefs.changes.subscribe((change) => {
     if (change.kind === 'instance-gone') recentPeers.remove(change.id);
@@ -125,12 +129,12 @@
 export const createComponents = (
   settings: () => InstanceSettings,
   store: Store,
-  wire: Wire,
+  wire: WireProtocol,
 ): Components => {
   const now = () => performance.now();
   const log = decisionLog(logger('gateway'), now);
   const phase = createPhase();
-  const beliefs = new Beliefs();
+  const beliefs = new ClusterState();
   logStateChanges(beliefs, log);
   const fleet = new FleetMembers(beliefs, now);
   const recentPeers = createRecentPeers(beliefs, now);
@@ -146,9 +150,9 @@
     self: ownEntryOf(settings()),
     recentPeers,
     fleet,
-    named: new NamedInstances(beliefs, now),
+    named: new AdvertisedInstances(beliefs, now),
     quarantine,
-    answeredLately: new AnsweredLately(now),
+    answeredLately: new RecentAnswers(now),
     crashReports: createCrashReports({ store, beliefs, fleet, log, now }, quarantine),
     ready: () => phase.value === 'serving' && beliefs.configuration !== undefined,
     now,
@@ -166,10 +170,10 @@
   const askOptions = { peers, self, seeds, ownServingEntry, exchangeReports, log };
   const follower = follow({
     store,
-    beliefs,
+    clusterState: beliefs,
     self,
-    askPeers: askPeers(askOptions),
-    askSnapshot: askSnapshot(askOptions, Math.random),
+    queryPeers: askPeers(askOptions),
+    requestSnapshot: askSnapshot(askOptions, Math.random),
     watchPeer: watchPeer({ ownServingEntry, log }),
     now,
     random: Math.random,
@@ -177,7 +181,7 @@
   });
   follower.status.subscribe(({ reached, reason, through }) => {
     storeReached = reached;
-    metrics.storeReached.set(reached ? 1 : 0);
+    metrics.storeReachable.set(reached ? 1 : 0);
     const event = reached ? 'reached' : 'lost';
     log.write('store', undefined, { event, reason, through: through?.id });
   });
@@ -196,7 +200,7 @@
     queueMicrotask(() => subscription.unsubscribe());
     registration = startRegistration({
       store,
-      beliefs,
+      clusterState: beliefs,
       self,
       now,
       report: (event, detail) => log.write('registration', undefined, { event, detail }),
--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -1,12 +1,12 @@
 /** Builds one gateway instance and runs it from startup to planned shutdown. */
-import type { Beliefs, Store } from '@cardamomladder/fleet';
+import type { ClusterState, Store } from '@cardamomladder/fleet';
 import type { InstanceSettings } from '@cardamomladder/settings';
 import type { GatewayMetrics, LineWriter } from '@cardamomladder/telemetry';
 import { monitorLoopDelay } from './lifecycle/loopDelay';
 import { stopGracefully } from './lifecycle/stop';
 import { startListeners } from './listeners';
 import { createComponents, registerWhenConfigured, startStoreFollower } from './components';
-import type { Wire } from './wireNames';
+import type { WireProtocol } from './wireProtocol';
 
 const MS_PER_SECOND = 1000;
 
@@ -14,13 +14,13 @@
 export interface GatewayOptions {
   settings: InstanceSettings;
   store: Store;
-  wire: Wire;
+  wire: WireProtocol;
   logWriter?: LineWriter;
 }
 
 /** A running instance. */
 export interface Gateway {
-  beliefs: Beliefs;
+  beliefs: ClusterState;
   metrics: GatewayMetrics;
   /** Applies changed settings, except those that need a restart. */
   reload: (settings: InstanceSettings) => void;
--- a/packages/gateway/src/decisionLog.ts
+++ b/packages/gateway/src/decisionLog.ts
@@ -5,7 +5,7 @@
  * in the next line of the same kind.
  */
 import type { LogFields, Logger } from '@cardamomladder/telemetry';
-import { lineLimit } from '@cardamomladder/telemetry';
+import { logRateLimiter } from '@cardamomladder/telemetry';
 
 /** The kinds of decision that are logged. */
 export type DecisionKind =
@@ -70,7 +70,7 @@
 
 /** Creates a decision log that writes to `log`; `now` is a monotonic clock in ms. */
 export const decisionLog = (log: Logger, now: () => number): DecisionLog => {
-  const limit = lineLimit((kind) => LINES_PER_SECOND[kind as DecisionKind]);
+  const limit = logRateLimiter((kind) => LINES_PER_SECOND[kind as DecisionKind]);
   return {
     write: (kind, request, fields) => {
       const leftOut = limit.admit(kind, now());
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,10 +1,10 @@
 export type { Gateway, GatewayOptions } from './daemon';
 export { startGateway } from './daemon';
-export { CREDENTIALS_HEADER } from './wireNames';
+export { CREDENTIALS_HEADER } from './wireProtocol';
 export type {
-  DirectoryQuestion,
+  DirectoryQuery,
   HeaderNames,
   LoadReport,
   TargetStatement,
-  Wire,
-} from './wireNames';
+  WireProtocol,
+} from './wireProtocol';
--- a/packages/gateway/src/lifecycle/__tests__/namedInstances.test.ts
+++ b/packages/gateway/src/lifecycle/__tests__/advertisedInstances.test.ts
@@ -1,9 +1,9 @@
 /** Tests of the advertised instances, among which shared limits are divided. */
 import { describe, expect, it } from 'vitest';
 import type { InstanceEntry } from '@cardamomladder/fleet';
-import { Beliefs } from '@cardamomladder/fleet';
+import { ClusterState } from '@cardamomladder/fleet';
 import { failureDomainName, instanceId, regionName, socketAddress } from '@cardamomladder/types';
-import { NamedInstances } from '../namedInstances';
+import { AdvertisedInstances } from '../advertisedInstances';
 
 const machine = (id: string, cores: number): InstanceEntry => ({
   id: instanceId(id),
@@ -15,18 +15,18 @@
 });
 
 const fleet = () => {
-  const beliefs = new Beliefs();
+  const beliefs = new ClusterState();
   const clock = { now: 0 };
-  const advertised = new NamedInstances(beliefs, () => clock.now);
+  const advertised = new AdvertisedInstances(beliefs, () => clock.now);
   const key = (id: string) => `instances/${id}`;
   let revision = 0;
   const join = (instance: InstanceEntry) => {
     revision += 1;
-    beliefs.take({ key: key(instance.id), revision, fact: { kind: 'instance', instance } });
+    beliefs.applyChange({ key: key(instance.id), revision, fact: { kind: 'instance', instance } });
   };
   const leave = (id: string) => {
     revision += 1;
-    beliefs.take({ key: key(id), revision, removed: true });
+    beliefs.applyChange({ key: key(id), revision, removed: true });
   };
   const ids = () => [...advertised.holders().ids].sort();
   return { clock, advertised, join, leave, ids };
--- a/packages/gateway/src/lifecycle/__tests__/loopDelay.test.ts
+++ b/packages/gateway/src/lifecycle/__tests__/loopDelay.test.ts
@@ -24,7 +24,7 @@
     addedDelayMs += ms;
     vi.advanceTimersByTime(CHECK_INTERVAL_MS);
   };
-  const delay = async () => (await metrics.loopDelay.get()).values[0]?.value;
+  const delay = async () => (await metrics.eventLoopDelay.get()).values[0]?.value;
   return { lines, delayLoop, delay, stop };
 };
 
--- a/packages/gateway/src/lifecycle/namedInstances.ts
+++ b/packages/gateway/src/lifecycle/advertisedInstances.ts
@@ -4,9 +4,9 @@
  * others must not grow at once: the missing ones may still run behind a network
  * partition and use their shares.
  */
-import type { Beliefs, InstanceEntry } from '@cardamomladder/fleet';
-import { strongOf } from '@cardamomladder/fleet';
-import type { Sharers } from '@cardamomladder/steering';
+import type { ClusterState, InstanceEntry } from '@cardamomladder/fleet';
+import { highCapacityInstances } from '@cardamomladder/fleet';
+import type { SharingInstances } from '@cardamomladder/steering';
 import type { InstanceId } from '@cardamomladder/types';
 import { ASSUMED_FLEET_SIZE } from './fleetMembers';
 import { RecentlyRemovedInstances } from './recentlyRemovedInstances';
@@ -15,30 +15,30 @@
 const SETTLE_MS = 3000;
 
 /** Selects the instances that are advertised in each failure domain. */
-export const namedIn = (instances: readonly InstanceEntry[]): InstanceEntry[] => {
+export const selectAdvertised = (instances: readonly InstanceEntry[]): InstanceEntry[] => {
   const byDomain = new Map<string, InstanceEntry[]>();
   instances.forEach((instance) => {
     const others = byDomain.get(instance.failureDomain) ?? [];
     byDomain.set(instance.failureDomain, [...others, instance]);
   });
-  return [...byDomain.values()].flatMap((group) => [...strongOf(group)]);
+  return [...byDomain.values()].flatMap((group) => [...highCapacityInstances(group)]);
 };
 
 /** Tracks the advertised instances. */
-export class NamedInstances {
+export class AdvertisedInstances {
   /** Instances that were advertised until recently. */
   private readonly recentlyRemoved: RecentlyRemovedInstances;
 
   private advertised = new Set<InstanceId>();
 
-  private cachedSharers: Sharers | undefined;
+  private cachedSharers: SharingInstances | undefined;
 
   private stale = true;
 
   private readonly startedAt: number;
 
   constructor(
-    private readonly beliefs: Beliefs,
+    private readonly beliefs: ClusterState,
     private readonly now: () => number,
   ) {
     this.startedAt = now();
@@ -49,7 +49,7 @@
   }
 
   /** The instances among which limits are divided; returns the same object until they change. */
-  holders(): Sharers {
+  holders(): SharingInstances {
     if (this.stale) this.refresh();
     if (this.recentlyRemoved.prune()) this.cachedSharers = undefined;
     this.cachedSharers ??= this.computeSharers();
@@ -64,7 +64,9 @@
 
   private refresh(): void {
     this.stale = false;
-    const advertised = new Set(namedIn([...this.beliefs.instances.values()]).map(({ id }) => id));
+    const advertised = new Set(
+      selectAdvertised([...this.beliefs.instances.values()]).map(({ id }) => id),
+    );
     this.advertised.forEach((id) => {
       if (!advertised.has(id)) this.recentlyRemoved.add(id);
     });
@@ -73,7 +75,7 @@
     this.cachedSharers = undefined;
   }
 
-  private computeSharers(): Sharers {
+  private computeSharers(): SharingInstances {
     const ids = [...this.advertised, ...this.recentlyRemoved.ids()];
     return { ids, size: Math.max(this.settled ? 1 : ASSUMED_FLEET_SIZE, ids.length) };
   }
--- a/packages/gateway/src/lifecycle/fleetMembers.ts
+++ b/packages/gateway/src/lifecycle/fleetMembers.ts
@@ -6,7 +6,7 @@
  * 26 were tolerated. Removed instances are therefore counted for a while, and a
  * newly started instance, which has not yet seen all entries, assumes a minimum.
  */
-import type { Beliefs } from '@cardamomladder/fleet';
+import type { ClusterState } from '@cardamomladder/fleet';
 import type { InstanceId } from '@cardamomladder/types';
 import { RecentlyRemovedInstances } from './recentlyRemovedInstances';
 
@@ -24,7 +24,7 @@
   private members: readonly InstanceId[] | undefined;
 
   constructor(
-    private readonly beliefs: Beliefs,
+    private readonly beliefs: ClusterState,
     private readonly now: () => number,
   ) {
     this.startedAt = now();
--- a/packages/gateway/src/lifecycle/loopDelay.ts
+++ b/packages/gateway/src/lifecycle/loopDelay.ts
@@ -28,7 +28,7 @@
   const timer = setInterval(() => {
     const lateMs = Math.max(0, now() - dueAt);
     dueAt = now() + CHECK_INTERVAL_MS;
-    metrics.loopDelay.set(lateMs / MS_PER_SECOND);
+    metrics.eventLoopDelay.set(lateMs / MS_PER_SECOND);
     if (lateMs >= LOG_THRESHOLD_MS)
       log.write('lifecycle', undefined, { event: 'running late', ms: Math.round(lateMs) });
   }, CHECK_INTERVAL_MS);
--- a/packages/gateway/src/lifecycle/stop.ts
+++ b/packages/gateway/src/lifecycle/stop.ts
@@ -42,7 +42,7 @@
   const startedAt = now();
   phase.next('leaving');
   log.write('lifecycle', undefined, { event: 'leaving', unanswered: connections.unanswered });
-  registration?.leave().catch((error: Error) => {
+  registration?.deregister().catch((error: Error) => {
     log.write('registration', undefined, { event: 'leaving failed', detail: error.message });
   });
   await pause(graceMs * REFUSE_AFTER_FRACTION);
--- a/packages/gateway/src/listeners.ts
+++ b/packages/gateway/src/listeners.ts
@@ -9,7 +9,7 @@
 import { knownInstances } from './peers/recentPeers';
 import type { Quotas } from './quota/quotas';
 import { startQuotas } from './quota/quotas';
-import { repeatBudgets } from './requests/repeatBudgets';
+import { createRetryBudgets } from './requests/retryBudgets';
 import type { CallerConnections } from './server/callerConnections';
 import { createCallerServer } from './server/callerServer';
 import { nearestInstances } from './server/directory';
@@ -18,10 +18,10 @@
   createMetricsServer,
   createReadinessServer,
 } from './server/auxiliaryServers';
-import { CrashWitness } from './targets/crashWitness';
-import { refusesConnections } from './targets/refusal';
+import { CrashDetector } from './targets/crashDetector';
+import { refusesConnections } from './targets/refusesConnections';
 import { TargetRegistry } from './targets/registry';
-import type { DirectoryQuestion } from './wireNames';
+import type { DirectoryQuery } from './wireProtocol';
 
 /** How long callers cache a directory response, in seconds: callers move off a stopping instance within this time, and a longer TTL means fewer directory requests. */
 const DIRECTORY_TTL_SECONDS = 2;
@@ -56,7 +56,7 @@
     named,
     ownRegion: self.region,
     ownDomain: self.failureDomain,
-    domains: failureDomains,
+    regionByDomain: failureDomains,
     self: self.id,
     coldOverage: bounds.coldOverage,
     coldSlack: bounds.coldSlack,
@@ -65,13 +65,13 @@
 };
 
 /** Reports target crashes, except those explained by a request that is already quarantined. */
-const createCrashWitness = (components: Components): CrashWitness => {
+const createCrashWitness = (components: Components): CrashDetector => {
   const { quarantine, answeredLately, crashReports, log, metrics } = components;
-  return new CrashWitness(refusesConnections, (crash) => {
+  return new CrashDetector(refusesConnections, (crash) => {
     metrics.targetCrashes.inc();
     log.write('target-crashed', undefined, { ...crash });
     if (crash.requests.some((suspect) => quarantine.holds(suspect))) return;
-    crashReports.crashed(crash);
+    crashReports.addCrash(crash);
     crash.requests
       .filter(({ request }) => answeredLately.has(request))
       .forEach(({ request }) => crashReports.answered({ request }));
@@ -91,12 +91,12 @@
     wire,
     registry,
     crashes: createCrashWitness(components),
-    budgetOf: repeatBudgets(() => settings().bounds),
+    retryBudgetOf: createRetryBudgets(() => settings().bounds),
     fleetSize: () => fleet.size(),
-    keysRequired: () => beliefs.configuration?.customers !== undefined,
+    apiKeysRequired: () => beliefs.configuration?.customers !== undefined,
     versions: () => ({
       configuration: beliefs.configuration?.version ?? 0,
-      ...beliefs.moment,
+      ...beliefs.position,
     }),
     metrics,
     log,
@@ -129,7 +129,7 @@
 /** Resolves directory queries from registry entries, recently seen peers and this instance's own readiness. */
 const createDirectoryLookup =
   ({ beliefs, recentPeers, ready, self }: Components) =>
-  (query: DirectoryQuestion): SocketAddress[] => {
+  (query: DirectoryQuery): SocketAddress[] => {
     const known = knownInstances(beliefs, recentPeers);
     if (ready()) known.set(self.id, self);
     else known.delete(self.id);
@@ -143,7 +143,7 @@
 ): Server =>
   createMetricsServer(metrics, () => {
     metrics.knownTargets.set(registry.size);
-    metrics.limitedTargets.set(registry.limited);
+    metrics.limitedTargets.set(registry.limitedCount);
     metrics.knownInstances.set(beliefs.instances.size);
     metrics.storeEpoch.set(beliefs.epoch);
     metrics.configurationVersion.set(beliefs.configuration?.version ?? 0);
--- a/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
+++ b/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
@@ -5,15 +5,15 @@
  */
 import { ResultAsync } from 'neverthrow';
 import type {
-  FactRecord,
-  FollowedFacts,
+  StoreRecord,
+  RelayedChanges,
   Follower,
   InstanceEntry,
-  PeerAnswer,
+  PeerResponse,
   Registration,
 } from '@cardamomladder/fleet';
-import { Beliefs, follow, startRegistration, unpackFacts } from '@cardamomladder/fleet';
-import type { StoreMoment } from '@cardamomladder/types';
+import { ClusterState, follow, startRegistration, unpackList } from '@cardamomladder/fleet';
+import type { StorePosition } from '@cardamomladder/types';
 import {
   failureDomainName,
   instanceId,
@@ -51,7 +51,7 @@
 /** One simulated instance. */
 export interface SimulatedInstance {
   self: InstanceEntry;
-  beliefs: Beliefs;
+  beliefs: ClusterState;
   follower: Follower;
   partition: Partition;
   registration: Registration;
@@ -103,7 +103,7 @@
   join(): SimulatedInstance {
     const self = entryFor(this.started);
     this.started += 1;
-    const beliefs = new Beliefs();
+    const beliefs = new ClusterState();
     const now = () => performance.now();
     const member = { self, beliefs, partition: 'none' } as SimulatedInstance;
     const store = this.store.clientFor(() => member.partition === 'none');
@@ -111,9 +111,9 @@
     let round = 0;
     member.follower = follow({
       store,
-      beliefs,
+      clusterState: beliefs,
       self,
-      askPeers: async (known) => {
+      queryPeers: async (known) => {
         const peers = [...knownInstances(beliefs, recentPeers).values()];
         round += 1;
         const answers = await Promise.all(
@@ -121,7 +121,7 @@
         );
         return answers.filter((answer) => answer !== undefined);
       },
-      askSnapshot: async () => undefined,
+      requestSnapshot: async () => undefined,
       watchPeer: (peer, known, waitMs) =>
         ResultAsync.fromPromise(
           this.askChanges(member, peer, known, waitMs),
@@ -143,7 +143,13 @@
       recordPeer: recentPeers.record.bind(recentPeers),
       now,
     }).createCaller({});
-    member.registration = startRegistration({ store, beliefs, self, now, report: () => {} });
+    member.registration = startRegistration({
+      store,
+      clusterState: beliefs,
+      self,
+      now,
+      report: () => {},
+    });
     this.live.set(self.peerAddress, member);
     return member;
   }
@@ -154,7 +160,7 @@
     member.follower.stop();
     const left = () => {};
     if (how === 'killed') Object.assign(member, { partition: 'all' });
-    member.registration.leave().then(left, left);
+    member.registration.deregister().then(left, left);
   }
 
   /** A call from one instance to another, which may be stopped or partitioned. */
@@ -179,8 +185,8 @@
   private async askFacts(
     from: SimulatedInstance,
     at: string,
-    known: StoreMoment,
-  ): Promise<PeerAnswer | undefined> {
+    known: StorePosition,
+  ): Promise<PeerResponse | undefined> {
     try {
       const request = { ...known, asker: from.self };
       const { packed, changes, storeReachedForMs } = await this.call(
@@ -190,7 +196,7 @@
         (peer) => peer.answers.facts(request),
       );
       if (packed === undefined) return { storeReachedForMs, changes };
-      const list = await unpackFacts(packed);
+      const list = await unpackList(packed);
       return list.isOk() ? { storeReachedForMs, list: list.value } : undefined;
     } catch {
       return undefined;
@@ -200,9 +206,9 @@
   private async askChanges(
     from: SimulatedInstance,
     peer: InstanceEntry,
-    known: StoreMoment,
+    known: StorePosition,
     waitMs: number,
-  ): Promise<FollowedFacts> {
+  ): Promise<RelayedChanges> {
     const request = { ...known, asker: from.self, waitMs, unpacks: true, takesLists: true };
     const answer = await this.call(
       from,
@@ -217,7 +223,7 @@
 }
 
 /** A fact that tests write to check which instances receive it. */
-export const evacuationFact = (name: string): FactRecord['fact'] => ({
+export const evacuationFact = (name: string): StoreRecord['fact'] => ({
   kind: 'evacuation',
   failureDomain: failureDomainName(name),
 });
--- a/packages/gateway/src/peers/__fixtures__/simulatedStore.ts
+++ b/packages/gateway/src/peers/__fixtures__/simulatedStore.ts
@@ -3,13 +3,13 @@
 import { ResultAsync as Results } from 'neverthrow';
 import { Subject } from 'rxjs';
 import type {
-  FactChange,
-  FactRecord,
+  RecordChange,
+  StoreRecord,
   InstanceEntry,
   Store,
   StoreFailure,
 } from '@cardamomladder/fleet';
-import type { StoreEpoch, StoreMoment } from '@cardamomladder/types';
+import type { StoreEpoch, StorePosition } from '@cardamomladder/types';
 import { pause, storeEpoch } from '@cardamomladder/types';
 
 /** Round-trip time of a call, ms. */
@@ -30,7 +30,7 @@
 }
 
 interface StoredFact {
-  record: FactRecord;
+  record: StoreRecord;
   lease: number;
 }
 
@@ -38,7 +38,7 @@
 interface Snapshot {
   revision: number;
   held: [string, StoredFact][];
-  changes: FactChange[];
+  changes: RecordChange[];
   leases: [number, { ttlMs: number }][];
   leasesGranted: number;
 }
@@ -54,7 +54,7 @@
 
   private held = new Map<string, StoredFact>();
 
-  private changes: FactChange[] = [];
+  private changes: RecordChange[] = [];
 
   private readonly leases = new Map<number, { endsAt: number; ttlMs: number }>();
 
@@ -63,7 +63,7 @@
   constructor(private readonly now: () => number) {}
 
   /** Writes a fact, or removes it if `fact` is undefined. */
-  put(key: string, fact: FactRecord['fact'] | undefined, lease = 0): void {
+  put(key: string, fact: StoreRecord['fact'] | undefined, lease = 0): void {
     this.revision += 1;
     const record = fact && { key, revision: this.revision, fact };
     if (record) this.held.set(key, { record, lease });
@@ -72,7 +72,7 @@
   }
 
   /** Returns the fact stored under a key, if any. */
-  factOf(key: string): FactRecord['fact'] | undefined {
+  factOf(key: string): StoreRecord['fact'] | undefined {
     return this.held.get(key)?.record.fact;
   }
 
@@ -157,7 +157,7 @@
     throw new StoreCallError('unavailable', 'store unreachable');
   }
 
-  private get moment(): StoreMoment {
+  private get moment(): StorePosition {
     return { epoch: this.epoch, revision: this.revision };
   }
 
@@ -187,7 +187,7 @@
     lease.endsAt = this.now() + lease.ttlMs;
   }
 
-  private register(instance: InstanceEntry, lease: number): StoreMoment {
+  private register(instance: InstanceEntry, lease: number): StorePosition {
     if (!this.leases.has(lease)) throw new StoreCallError('lease-ended', 'no such lease');
     this.put(`instances/${instance.id}`, { kind: 'instance', instance }, lease);
     return this.moment;
--- a/packages/gateway/src/peers/__tests__/reportSpread.test.ts
+++ b/packages/gateway/src/peers/__tests__/reportSpread.test.ts
@@ -1,7 +1,7 @@
 /** Tests how fast crash reports reach all instances while none of them reaches the store. */
 import { okAsync } from 'neverthrow';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import type { InstanceEntry, ReportMark } from '@cardamomladder/fleet';
+import type { InstanceEntry, ReportCursor } from '@cardamomladder/fleet';
 import { CrashReports } from '@cardamomladder/fleet';
 import { Quarantine } from '@cardamomladder/steering';
 import {
@@ -28,8 +28,8 @@
   quarantine: Quarantine;
   reports: CrashReports;
   /** By peer: the mark up to which this instance has the peer's reports, and the reverse. */
-  receivedMarks: Map<string, ReportMark>;
-  sentMarks: Map<string, ReportMark>;
+  receivedMarks: Map<string, ReportCursor>;
+  sentMarks: Map<string, ReportCursor>;
   asked: number;
 }
 
@@ -45,7 +45,7 @@
       reportId: (key) => key.replace('crashes/', ''),
       removeReports: () => okAsync(undefined),
     },
-    book: quarantine,
+    index: quarantine,
     fleetSize: () => 1,
     nextId: () => {
       ids += 1;
@@ -107,7 +107,7 @@
     const members = Array.from({ length: size }, (_, number) => memberOf(number));
     const witnesses = [0, 1, 2].map((nth) => members[Math.floor((nth * size) / 3)]);
     witnesses.forEach(({ reports }, nth) =>
-      reports.crashed({ run: targetRun(targetId(`t-${nth}`), nth), requests: [CRASHING] }),
+      reports.addCrash({ run: targetRun(targetId(`t-${nth}`), nth), requests: [CRASHING] }),
     );
     await vi.advanceTimersByTimeAsync(ROUND_MS);
     let rounds = 0;
--- a/packages/gateway/src/peers/__tests__/restoredStore.test.ts
+++ b/packages/gateway/src/peers/__tests__/restoredStore.test.ts
@@ -5,7 +5,7 @@
  */
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import type { FactRecord } from '@cardamomladder/fleet';
+import type { StoreRecord } from '@cardamomladder/fleet';
 import type { Configuration } from '@cardamomladder/routing';
 import {
   configurationVersion,
@@ -45,11 +45,11 @@
   storeRefusesOne: boolean;
 }
 
-const configurationOf = (version: number): FactRecord['fact'] => ({
+const configurationOf = (version: number): StoreRecord['fact'] => ({
   kind: 'configuration',
   configuration: { version: configurationVersion(version) } as Configuration,
 });
-const targetOf = (id: string, leaving: boolean, writes: number): FactRecord['fact'] => ({
+const targetOf = (id: string, leaving: boolean, writes: number): StoreRecord['fact'] => ({
   kind: 'target',
   target: {
     id: targetId(id),
@@ -67,10 +67,10 @@
 let fleet: SimulatedFleet;
 let expiryTimer: NodeJS.Timeout;
 /** Latest values written by operators and targets, by key; undefined if removed. */
-let written: Map<string, FactRecord['fact'] | undefined>;
+let written: Map<string, StoreRecord['fact'] | undefined>;
 let version: number;
 
-const write = (key: string, fact: FactRecord['fact'] | undefined): void => {
+const write = (key: string, fact: StoreRecord['fact'] | undefined): void => {
   written.set(key, fact);
   store.put(key, fact);
 };
@@ -88,7 +88,7 @@
   leaving: Set<string>;
   gone: Set<string>;
 }
-const factOf = ({ beliefs }: SimulatedInstance, key: string) => beliefs.factOf(key);
+const factOf = ({ beliefs }: SimulatedInstance, key: string) => beliefs.valueAt(key);
 const isLeaving = (member: SimulatedInstance, id: string): boolean => {
   const fact = factOf(member, `targets/${id}`);
   return fact?.kind === 'target' && fact.target.leaving;
--- a/packages/gateway/src/peers/ask.ts
+++ b/packages/gateway/src/peers/ask.ts
@@ -4,14 +4,9 @@
  * not only query peers inside it. A new instance queries a seed peer from its
  * settings.
  */
-import type {
-  InstanceEntry,
-  PeerAnswer,
-  PeerQuestion,
-  SnapshotQuestion,
-} from '@cardamomladder/fleet';
-import { unpackFacts } from '@cardamomladder/fleet';
-import type { StoreMoment } from '@cardamomladder/types';
+import type { InstanceEntry, PeerResponse, PeerQuery, SnapshotQuery } from '@cardamomladder/fleet';
+import { unpackList } from '@cardamomladder/fleet';
+import type { StorePosition } from '@cardamomladder/types';
 import { storeEpoch } from '@cardamomladder/types';
 import type { DecisionLog } from '../decisionLog';
 import { peerClient } from './client';
@@ -26,7 +21,7 @@
 /** Timeout for the full list of facts that a new instance requests, ms: 30 kB sent to dozens of instances at once over a 20 Mbit/s link. */
 const SNAPSHOT_TIMEOUT_MS = 800;
 
-const NO_KNOWN_MOMENT: StoreMoment = { epoch: storeEpoch(0), revision: 0 };
+const NO_KNOWN_MOMENT: StorePosition = { epoch: storeEpoch(0), revision: 0 };
 
 /** Dependencies of the peer queries. */
 export interface PeerQueryOptions {
@@ -74,9 +69,9 @@
 const queryPeer = async (
   { ownServingEntry, exchangeReports, log }: PeerQueryOptions,
   address: string,
-  known: StoreMoment,
+  known: StorePosition,
   timeoutMs: number,
-): Promise<PeerAnswer | undefined> => {
+): Promise<PeerResponse | undefined> => {
   const failed = (reason: string): undefined => {
     log.write('store', undefined, { event: 'peer did not answer', peer: address, reason });
   };
@@ -87,7 +82,7 @@
     });
     if (reports) exchangeReports(address, reports).catch((error: Error) => failed(error.message));
     if (packed === undefined) return answer;
-    const list = await unpackFacts(packed);
+    const list = await unpackList(packed);
     return list.isOk() ? { ...answer, list: list.value } : failed(list.error.message);
   } catch (error) {
     return failed((error as Error).message);
@@ -95,7 +90,7 @@
 };
 
 /** Creates the query that the follower uses while the store is unreachable. */
-export const askPeers = (options: PeerQueryOptions): PeerQuestion => {
+export const askPeers = (options: PeerQueryOptions): PeerQuery => {
   let round = 0;
   return async (known) => {
     const addresses = selectPeers(options.peers(), options.self, options.seeds, round);
@@ -103,7 +98,7 @@
     const answers = await Promise.all(
       addresses.map((address) => queryPeer(options, address, known, FACTS_TIMEOUT_MS)),
     );
-    return answers.filter((answer): answer is PeerAnswer => answer !== undefined);
+    return answers.filter((answer): answer is PeerResponse => answer !== undefined);
   };
 };
 
@@ -114,7 +109,7 @@
  * otherwise seeds that start together would wait for each other.
  */
 export const askSnapshot =
-  (options: PeerQueryOptions, random: () => number): SnapshotQuestion =>
+  (options: PeerQueryOptions, random: () => number): SnapshotQuery =>
   async () => {
     const { seeds, self } = options;
     if (seeds.length === 0 || seeds.includes(self.peerAddress)) return undefined;
--- a/packages/gateway/src/peers/recentPeers.ts
+++ b/packages/gateway/src/peers/recentPeers.ts
@@ -1,5 +1,5 @@
 /** Peers that sent a request directly to this instance, even if their entry in the store is gone. */
-import type { Beliefs, InstanceEntry } from '@cardamomladder/fleet';
+import type { ClusterState, InstanceEntry } from '@cardamomladder/fleet';
 import type { InstanceId } from '@cardamomladder/types';
 
 /** How long a peer counts as alive after a request, ms: four of its request intervals. */
@@ -38,7 +38,7 @@
 
 /** Merges instances from registry entries with those seen directly; where both exist, the directly received entry is newer. */
 export const knownInstances = (
-  beliefs: Pick<Beliefs, 'instances'>,
+  beliefs: Pick<ClusterState, 'instances'>,
   recentPeers: RecentPeers,
 ): Map<InstanceId, InstanceEntry> => {
   const known = new Map(beliefs.instances);
--- a/packages/gateway/src/peers/reportExchange.ts
+++ b/packages/gateway/src/peers/reportExchange.ts
@@ -1,6 +1,6 @@
 /** Exchanges the crash reports that this instance or a peer lacks. */
-import type { CrashReports, ReportMark } from '@cardamomladder/fleet';
-import { isCovered } from '@cardamomladder/fleet';
+import type { CrashReports, ReportCursor } from '@cardamomladder/fleet';
+import { hasAllReports } from '@cardamomladder/fleet';
 import type { DecisionLog } from '../decisionLog';
 import { peerClient } from './client';
 import { reportsResponse } from './reportFormat';
@@ -11,9 +11,9 @@
 /** Progress of the exchange with one peer. */
 interface ExchangeState {
   /** Up to which mark the peer has this instance's reports. */
-  sentMark: ReportMark | undefined;
+  sentMark: ReportCursor | undefined;
   /** Up to which mark this instance has the peer's reports. */
-  receivedMark: ReportMark | undefined;
+  receivedMark: ReportCursor | undefined;
 }
 
 /** Dependencies of the exchange. */
@@ -25,7 +25,7 @@
 }
 
 /** Exchanges reports with the peer at `address`, whose reports go up to the mark `theirs`; never rejects. */
-export type ReportExchange = (address: string, theirs: ReportMark) => Promise<void>;
+export type ReportExchange = (address: string, theirs: ReportCursor) => Promise<void>;
 
 /** Creates the exchange; it sends no request to a peer if neither side has new reports. */
 export const reportExchange = ({
@@ -46,10 +46,10 @@
       reports: own.reports,
     });
     const theirs = reportsResponse.parse(raw);
-    const isLatest = isCovered(crashReports.mark, own.mark);
+    const isLatest = hasAllReports(crashReports.mark, own.mark);
     crashReports.hear(theirs.reports, storeReached());
     // Reports just received from the peer need not be sent back to it.
-    const receivedNew = isLatest && !isCovered(crashReports.mark, own.mark);
+    const receivedNew = isLatest && !hasAllReports(crashReports.mark, own.mark);
     stateByAddress.set(address, {
       sentMark: receivedNew ? crashReports.mark : own.mark,
       receivedMark: theirs.mark,
@@ -58,8 +58,8 @@
 
   return async (address, theirs) => {
     const state = stateByAddress.get(address) ?? { sentMark: undefined, receivedMark: undefined };
-    const isSent = isCovered(crashReports.mark, state.sentMark);
-    if ((isSent && isCovered(theirs, state.receivedMark)) || inProgress.has(address)) return;
+    const isSent = hasAllReports(crashReports.mark, state.sentMark);
+    if ((isSent && hasAllReports(theirs, state.receivedMark)) || inProgress.has(address)) return;
     inProgress.add(address);
     try {
       await exchange(address, state);
--- a/packages/gateway/src/peers/reportFormat.ts
+++ b/packages/gateway/src/peers/reportFormat.ts
@@ -1,6 +1,6 @@
 /** Schemas of the crash reports exchanged between peers. */
 import { z } from 'zod';
-import { REPORTS_AT_A_TIME } from '@cardamomladder/fleet';
+import { MAX_REPORTS_PER_EXCHANGE } from '@cardamomladder/fleet';
 import type { TargetRun } from '@cardamomladder/types';
 import { callerDigest, requestDigest, storeEpoch } from '@cardamomladder/types';
 
@@ -24,7 +24,7 @@
     place: place.optional(),
   }),
 });
-const passedReports = z.array(passedReport).max(REPORTS_AT_A_TIME);
+const passedReports = z.array(passedReport).max(MAX_REPORTS_PER_EXCHANGE);
 
 /** Request for a peer's reports; carries the sender's own reports. */
 export const reportsRequest = z.object({ after: mark.optional(), reports: passedReports });
--- a/packages/gateway/src/peers/router.ts
+++ b/packages/gateway/src/peers/router.ts
@@ -10,21 +10,21 @@
 import { filter, first, firstValueFrom, merge, timer } from 'rxjs';
 import { z } from 'zod';
 import type {
-  Beliefs,
+  ClusterState,
   CrashReports,
-  FactChange,
-  FactChanges,
+  RecordChange,
+  RecordChanges,
   Follower,
   InstanceEntry,
-  PassedReports,
-  ReportMark,
+  ForwardedReports,
+  ReportCursor,
   StoreStatus,
 } from '@cardamomladder/fleet';
-import { PackedChanges, PackedFacts } from '@cardamomladder/fleet';
-import type { StoreEpoch, StoreMoment } from '@cardamomladder/types';
-import { compareMoments, momentOf, storeEpoch } from '@cardamomladder/types';
-import type { TokenAnswer, TokenQuestion } from '../quota/tokenFormat';
-import { tokenQuestion } from '../quota/tokenFormat';
+import { PackedChangesCache, PackedListCache } from '@cardamomladder/fleet';
+import type { StoreEpoch, StorePosition } from '@cardamomladder/types';
+import { comparePositions, positionOf, storeEpoch } from '@cardamomladder/types';
+import type { TokenResponse, TokenRequest } from '../quota/tokenSchemas';
+import { tokenRequest } from '../quota/tokenSchemas';
 import { reportsRequest } from './reportFormat';
 
 const t = initTRPC.create();
@@ -34,12 +34,12 @@
 
 /** Dependencies of the router. */
 export interface PeerRouterOptions {
-  beliefs: Beliefs;
+  beliefs: ClusterState;
   follower: Follower;
   crashReports: Pick<CrashReports, 'mark' | 'after' | 'hear'>;
   recordPeer: (asker: InstanceEntry) => void;
   /** Lends tokens of the customers whose token pools this instance keeps. */
-  lend: (question: TokenQuestion) => TokenAnswer;
+  lend: (question: TokenRequest) => TokenResponse;
   /** Monotonic clock, ms. */
   now: () => number;
 }
@@ -48,11 +48,11 @@
 export interface FactsResponse {
   /** How long the store has been reachable, ms; unset while it is not. */
   storeReachedForMs?: number;
-  changes?: FactChanges;
+  changes?: RecordChanges;
   /** All facts, compressed. */
   packed?: string;
   /** Mark up to which this instance has crash reports that the store may not have; older versions omit it. */
-  reports?: ReportMark;
+  reports?: ReportCursor;
 }
 
 /** Changes for a following peer, compressed or not, and the time since the last response of the store, ms. */
@@ -62,7 +62,7 @@
   epoch?: StoreEpoch;
   revision: number;
   storeHeardMsAgo: number;
-  changes?: FactChange[];
+  changes?: RecordChange[];
   packed?: string;
 }
 
@@ -102,8 +102,8 @@
 
 /** Compressed responses shared by all peers that follow this instance or request its facts. */
 interface PackedCache {
-  facts: PackedFacts;
-  changes: PackedChanges;
+  facts: PackedListCache;
+  changes: PackedChangesCache;
 }
 
 const changesSince = async (
@@ -117,7 +117,7 @@
   const changes = changeLog.since(known);
   if (!changes && !known.takesLists) return { kind: 'history-gone' };
   if (!changes) {
-    const list = await packed.facts.at(beliefs.moment);
+    const list = await packed.facts.at(beliefs.position);
     return { kind: 'list', list, storeHeardMsAgo: storeHeardMsAgo() };
   }
   const { epoch, revision } = changeLog;
@@ -131,7 +131,7 @@
 /** Resolves at the first change after `known`, when this instance stops watching the store, or after `waitMs`. */
 const waitForNewer = async (
   { changeLog, status }: Follower,
-  known: StoreMoment,
+  known: StorePosition,
   waitMs: number,
 ): Promise<void> => {
   if (changeLog.isAfter(known)) return;
@@ -147,23 +147,23 @@
 /** Returns the facts newer than `known`: only the changes if they are retained, which are often one or two facts instead of hundreds. */
 const factsSince = async (
   { beliefs, follower }: PeerRouterOptions,
-  packed: PackedFacts,
-  known: StoreMoment,
+  packed: PackedListCache,
+  known: StorePosition,
 ): Promise<Pick<FactsResponse, 'changes' | 'packed'>> => {
-  if (compareMoments(beliefs, known) <= 0) return {};
+  if (comparePositions(beliefs, known) <= 0) return {};
   const { changeLog } = follower;
   const changes = known.revision > 0 ? changeLog.since(known) : undefined;
   return changes
-    ? { changes: { changes, ...momentOf(changeLog) } }
-    : { packed: await packed.at(beliefs.moment) };
+    ? { changes: { changes, ...positionOf(changeLog) } }
+    : { packed: await packed.at(beliefs.position) };
 };
 
 /** Creates the router of one instance. */
 export const peerRouter = (options: PeerRouterOptions) => {
   const { follower, crashReports, recordPeer, lend, now } = options;
   const packed: PackedCache = {
-    facts: new PackedFacts(() => follower.list()),
-    changes: new PackedChanges(),
+    facts: new PackedListCache(() => follower.list()),
+    changes: new PackedChangesCache(),
   };
   return t.router({
     facts: t.procedure.input(factsRequest).query(async ({ input }): Promise<FactsResponse> => {
@@ -182,12 +182,12 @@
         await waitForNewer(follower, input, input.waitMs);
         return changesSince(options, packed, input);
       }),
-    reports: t.procedure.input(reportsRequest).mutation(({ input }): PassedReports => {
+    reports: t.procedure.input(reportsRequest).mutation(({ input }): ForwardedReports => {
       const answer = crashReports.after(input.after);
       crashReports.hear(input.reports, follower.status.value.reached);
       return answer;
     }),
-    tokens: t.procedure.input(tokenQuestion).mutation(({ input }): TokenAnswer => lend(input)),
+    tokens: t.procedure.input(tokenRequest).mutation(({ input }): TokenResponse => lend(input)),
   });
 };
 
--- a/packages/gateway/src/peers/watch.ts
+++ b/packages/gateway/src/peers/watch.ts
@@ -1,8 +1,8 @@
 /** Follows the store through a peer that watches it. */
 import { ResultAsync, errAsync, okAsync } from 'neverthrow';
-import type { FollowedFacts, InstanceEntry, PeerWatch, StoreFailure } from '@cardamomladder/fleet';
-import { unpackChanges, unpackFacts } from '@cardamomladder/fleet';
-import { momentOf, storeEpoch } from '@cardamomladder/types';
+import type { RelayedChanges, InstanceEntry, PeerWatch, StoreFailure } from '@cardamomladder/fleet';
+import { unpackChanges, unpackList } from '@cardamomladder/fleet';
+import { positionOf, storeEpoch } from '@cardamomladder/types';
 import type { DecisionLog } from '../decisionLog';
 import { peerClient } from './client';
 import type { ChangesResponse } from './router';
@@ -26,15 +26,15 @@
 export const followedFacts = (
   peer: InstanceEntry,
   answer: ChangesResponse,
-): ResultAsync<FollowedFacts, StoreFailure> => {
+): ResultAsync<RelayedChanges, StoreFailure> => {
   if (answer.kind === 'history-gone')
     return errAsync({ ...peerFailure(peer, answer.kind), kind: answer.kind });
   if (answer.kind === 'not-watching')
     return errAsync(peerFailure(peer, 'does not watch the store'));
   const { storeHeardMsAgo } = answer;
   if (answer.kind === 'list')
-    return unpackFacts(answer.list)
-      .map((list) => ({ ...momentOf(list), changes: [], list, storeHeardMsAgo }))
+    return unpackList(answer.list)
+      .map((list) => ({ ...positionOf(list), changes: [], list, storeHeardMsAgo }))
       .mapErr(({ message }) => peerFailure(peer, message));
   const { epoch = storeEpoch(0), revision, changes = [], packed } = answer;
   const all = packed === undefined ? okAsync(changes) : unpackChanges(packed);
--- a/packages/gateway/src/quota/quotas.ts
+++ b/packages/gateway/src/quota/quotas.ts
@@ -1,26 +1,26 @@
 /** Customer quotas of one instance: admission, lending tokens to peers, and requesting tokens from them. */
 import type { Customer, LocalQuota, QuotaTolerance } from '@cardamomladder/customers';
 import {
-  Allowances,
+  LocalQuotas,
   Lender,
   MAX_WAIT_MS,
   lenderOf,
   selectLenders,
 } from '@cardamomladder/customers';
-import type { Beliefs, InstanceEntry } from '@cardamomladder/fleet';
+import type { ClusterState, InstanceEntry } from '@cardamomladder/fleet';
 import type { InstanceId } from '@cardamomladder/types';
 import type { DecisionLog } from '../decisionLog';
-import type { NamedInstances } from '../lifecycle/namedInstances';
-import { namedIn } from '../lifecycle/namedInstances';
-import type { TokenAnswer, TokenQuestion } from './tokenFormat';
+import type { AdvertisedInstances } from '../lifecycle/advertisedInstances';
+import { selectAdvertised } from '../lifecycle/advertisedInstances';
+import type { TokenResponse, TokenRequest } from './tokenSchemas';
 import { startTokenRounds } from './tokenRounds';
 
 /** Dependencies of an instance's quotas. */
 export interface QuotaOptions {
   self: InstanceId;
-  beliefs: Beliefs;
+  beliefs: ClusterState;
   /** The instances that callers are sent to. */
-  named: Pick<NamedInstances, 'holders'>;
+  named: Pick<AdvertisedInstances, 'holders'>;
   tolerance: QuotaTolerance;
   /** Time since the store was last heard, directly or through a relay, ms. */
   storeHeardMsAgo: () => number;
@@ -45,13 +45,13 @@
   /** State of a customer's limit at this instance, for the log. */
   describe: (customer: Customer) => Record<string, number>;
   /** Handles a peer's token request. */
-  lend: (request: TokenQuestion) => TokenAnswer;
+  lend: (request: TokenRequest) => TokenResponse;
   stop: () => void;
 }
 
 /** The lenders among the instances that callers are sent to. */
 const currentLenders = ({ beliefs }: QuotaOptions): InstanceEntry[] =>
-  selectLenders(namedIn([...beliefs.instances.values()]));
+  selectLenders(selectAdvertised([...beliefs.instances.values()]));
 
 const sameInstances = (some: readonly InstanceEntry[], others: readonly InstanceEntry[]) =>
   some.length === others.length && some.every(({ id }, i) => id === others[i].id);
@@ -77,10 +77,10 @@
 export const startQuotas = (options: QuotaOptions): Quotas => {
   const { self, beliefs, named, tolerance, storeHeardMsAgo, log, now } = options;
   let lenders = currentLenders(options);
-  const localQuotas = new Allowances({
+  const localQuotas = new LocalQuotas({
     self,
     tolerance,
-    holders: () => named.holders(),
+    sharers: () => named.holders(),
     startedAt: PROCESS_START,
     now,
   });
@@ -92,10 +92,10 @@
     startedAt: PROCESS_START,
     now,
   });
-  const lend = ({ asker, needs }: TokenQuestion): TokenAnswer => {
+  const lend = ({ asker, needs }: TokenRequest): TokenResponse => {
     lender.recordContact(asker);
     return {
-      lent: needs.flatMap(([customer, need]): TokenAnswer['lent'] => {
+      lent: needs.flatMap(([customer, need]): TokenResponse['lent'] => {
         const lent = lender.lend(customer, asker, need);
         return lent === undefined ? [] : [[customer, lent]];
       }),
--- a/packages/gateway/src/quota/tokenRounds.ts
+++ b/packages/gateway/src/quota/tokenRounds.ts
@@ -2,14 +2,14 @@
  * Requests tokens from the lenders several times a second, independently of
  * callers' requests: one token request per lender, for all of its customers.
  */
-import type { Allowances, TokenNeed } from '@cardamomladder/customers';
+import type { LocalQuotas, TokenNeed } from '@cardamomladder/customers';
 import { CONTACT_INTERVAL_MS, MIN_ASK_INTERVAL_MS } from '@cardamomladder/customers';
 import type { InstanceEntry } from '@cardamomladder/fleet';
 import type { CustomerName, InstanceId } from '@cardamomladder/types';
 import type { DecisionLog } from '../decisionLog';
 import { peerClient } from '../peers/client';
-import type { TokenAnswer, TokenQuestion } from './tokenFormat';
-import { MAX_CUSTOMERS_PER_REQUEST, tokenAnswer } from './tokenFormat';
+import type { TokenResponse, TokenRequest } from './tokenSchemas';
+import { MAX_CUSTOMERS_PER_REQUEST, tokenResponse } from './tokenSchemas';
 
 /** Interval between rounds, ms; lent tokens last for two and a half rounds. */
 const ROUND_INTERVAL_MS = 280;
@@ -19,13 +19,13 @@
 /** Dependencies of the token rounds. */
 export interface TokenRoundOptions {
   self: InstanceId;
-  localQuotas: Allowances;
+  localQuotas: LocalQuotas;
   /** The lenders with which this instance must stay in contact. */
   lenders: () => readonly InstanceEntry[];
   /** The lender of a customer's tokens. */
   lenderOf: (customer: CustomerName) => InstanceEntry | undefined;
   /** Sends a token request to this instance's own lender. */
-  lend: (request: TokenQuestion) => TokenAnswer;
+  lend: (request: TokenRequest) => TokenResponse;
   log: DecisionLog;
   /** Monotonic clock, ms. */
   now: () => number;
@@ -33,7 +33,7 @@
 
 interface LenderRequest {
   lender: InstanceEntry;
-  needs: TokenQuestion['needs'];
+  needs: TokenRequest['needs'];
 }
 
 const groupByLender = (
@@ -63,12 +63,12 @@
   const lastContactAt = new Map<InstanceId, number>();
   const askPeer = async (
     { peerAddress }: InstanceEntry,
-    request: TokenQuestion,
-  ): Promise<TokenAnswer> => {
+    request: TokenRequest,
+  ): Promise<TokenResponse> => {
     const response = await peerClient(peerAddress, RESPONSE_TIMEOUT_MS).tokens.mutate(request);
-    return tokenAnswer.parse(response);
+    return tokenResponse.parse(response);
   };
-  const receive = ([customer, tokens]: TokenAnswer['lent'][number]): void => {
+  const receive = ([customer, tokens]: TokenResponse['lent'][number]): void => {
     const quota = localQuotas.of(customer);
     quota?.receive(tokens, now());
     // The remaining requests arrived after the token request was sent.
--- a/packages/gateway/src/quota/tokenFormat.ts
+++ b/packages/gateway/src/quota/tokenSchemas.ts
@@ -17,15 +17,15 @@
 });
 
 /** Token request: for each customer, the tokens that the asker holds and returns, and its demand. */
-export const tokenQuestion = z.object({
+export const tokenRequest = z.object({
   asker: z.string().min(1).transform(instanceId),
   needs: z.array(z.tuple([name, need])).max(MAX_CUSTOMERS_PER_REQUEST),
 });
 
 /** Token response: tokens lent, or, if below 0, to be returned, by customer; omits customers of other lenders. */
-export const tokenAnswer = z.object({
+export const tokenResponse = z.object({
   lent: z.array(z.tuple([name, z.number().int()])),
 });
 
-export type TokenQuestion = z.output<typeof tokenQuestion>;
-export type TokenAnswer = z.output<typeof tokenAnswer>;
+export type TokenRequest = z.output<typeof tokenRequest>;
+export type TokenResponse = z.output<typeof tokenResponse>;
--- a/packages/gateway/src/requests/__tests__/crashEvidence.test.ts
+++ b/packages/gateway/src/requests/__tests__/crashEvidence.test.ts
@@ -1,7 +1,7 @@
 /** Crash evidence recorded from the outcomes of sends. */
 import { describe, expect, it } from 'vitest';
-import { AnsweredLately, Quarantine } from '@cardamomladder/steering';
-import type { AskedRequest } from '@cardamomladder/types';
+import { RecentAnswers, Quarantine } from '@cardamomladder/steering';
+import type { IssuedRequest } from '@cardamomladder/types';
 import {
   callerDigest,
   requestDigest,
@@ -12,16 +12,16 @@
 import type { AttemptOutcome } from '../../targets/attempt';
 import type { ReachableTarget } from '../../targets/registry';
 import { recordCrashEvidence } from '../crashEvidence';
-import type { RequestExecution } from '../serving';
+import type { RequestExecution } from '../requestExecution';
 
-const asked: AskedRequest = { request: requestDigest('r'), caller: callerDigest('c') };
+const asked: IssuedRequest = { request: requestDigest('r'), caller: callerDigest('c') };
 const answer = (status: number) => ({ kind: 'answer', status }) as AttemptOutcome;
 
 /** Records an outcome of a request that was in progress during two crashes; returns what was reported. */
 const record = async (outcome: AttemptOutcome) => {
   const quarantine = new Quarantine(() => 0);
-  const answeredLately = new AnsweredLately(() => 0);
-  const reported: AskedRequest[] = [];
+  const answeredLately = new RecentAnswers(() => 0);
+  const reported: IssuedRequest[] = [];
   quarantine.file(
     'north',
     { epoch: storeEpoch(0), revision: 1 },
@@ -30,7 +30,7 @@
       answered: [],
     },
   );
-  const crashReports = { answered: (each: AskedRequest) => reported.push(each) };
+  const crashReports = { answered: (each: IssuedRequest) => reported.push(each) };
   const ctx = { quarantine, answeredLately, crashReports };
   const execution = { ctx, asked, requestDigest: asked.request };
   await recordCrashEvidence(
--- a/packages/gateway/src/requests/__tests__/retryPolicy.test.ts
+++ b/packages/gateway/src/requests/__tests__/retryPolicy.test.ts
@@ -1,7 +1,7 @@
 /** At-most-once execution: which outcomes allow a retry, and after what time. */
 import type { IncomingMessage } from 'node:http';
 import { describe, expect, it } from 'vitest';
-import { seeded } from '@cardamomladder/load';
+import { seededRandom } from '@cardamomladder/load';
 import type { RequestKind } from '@cardamomladder/routing';
 import type { AttemptOutcome } from '../../targets/attempt';
 import { retryTimeoutMs, shouldRetry } from '../retryPolicy';
@@ -64,7 +64,7 @@
     // both loaded the object. In a large fleet an instance had only three response
     // times in its window; the next one exceeded their maximum, which was used as
     // if it were the overall maximum.
-    const random = seeded(4);
+    const random = seededRandom(4);
     const answerMs = () => 200 - 150 * Math.log(1 - random());
     const rounds = 4000;
     const abandonedShare = (sampleCount: number): number => {
--- a/packages/gateway/src/requests/callerRequest.ts
+++ b/packages/gateway/src/requests/callerRequest.ts
@@ -10,7 +10,7 @@
   ServiceName,
 } from '@cardamomladder/types';
 import { objectKey, requestId } from '@cardamomladder/types';
-import type { HeaderNames } from '../wireNames';
+import type { HeaderNames } from '../wireProtocol';
 
 /** A caller's request with its complete body. Times on the monotonic clock, ms. */
 export interface CallerRequest {
@@ -36,7 +36,7 @@
   body: Buffer | undefined;
   arrivedAt: number;
   /** Deadline for the response. */
-  finalAt: number;
+  deadlineAt: number;
   /** Lower bound of the time that the caller has already waited in earlier attempts, ms. */
   waitedBeforeMs: number;
 }
@@ -48,17 +48,17 @@
   Array.isArray(value) ? value[0] : value;
 
 /** The timeout that the caller sent, ms; undefined if missing or invalid. */
-export const statedWaitMs = (req: IncomingMessage, names: HeaderNames): number | undefined => {
+export const requestedTimeoutMs = (
+  req: IncomingMessage,
+  names: HeaderNames,
+): number | undefined => {
   const value = Number(firstValue(req.headers[names.waitMs]));
   return Number.isFinite(value) && value > 0 ? value : undefined;
 };
 
 /** Deadline of a request on `route` whose caller waits `waitMs`. */
-export const finalAnswerAt = (
-  route: Route,
-  waitMs: number | undefined,
-  arrivedAt: number,
-): number => arrivedAt + Math.min(waitMs ?? DEFAULT_TIMEOUT_MS, route.timeoutMs ?? Infinity);
+export const deadlineOf = (route: Route, waitMs: number | undefined, arrivedAt: number): number =>
+  arrivedAt + Math.min(waitMs ?? DEFAULT_TIMEOUT_MS, route.timeoutMs ?? Infinity);
 
 /** The caller's id of this attempt; undefined if missing. */
 export const requestIdOf = (req: IncomingMessage, names: HeaderNames): RequestId | undefined => {
@@ -71,7 +71,7 @@
  * request's id if it names no object. Targets cache an object separately for
  * each route.
  */
-export const placingKey = (
+export const placementKey = (
   req: IncomingMessage,
   names: HeaderNames,
   route: RouteName,
--- a/packages/gateway/src/requests/crashEvidence.ts
+++ b/packages/gateway/src/requests/crashEvidence.ts
@@ -1,17 +1,17 @@
 /** Derives from the outcomes of sends whether a request crashes targets. */
-import { CRASHES_OF_A_CAUSE } from '@cardamomladder/steering';
+import { MIN_CRASHES_PER_CAUSE } from '@cardamomladder/steering';
 import { pause } from '@cardamomladder/types';
 import type { AttemptOutcome } from '../targets/attempt';
 import type { ReachableTarget } from '../targets/registry';
 import { FIRST_SERVER_ERROR } from './retryPolicy';
-import type { RequestExecution } from './serving';
+import type { RequestExecution } from './requestExecution';
 
 /** Retry-After of quarantined requests, ms: a request quarantined on suspicion alone is released within two minutes. */
 export const QUARANTINE_RETRY_AFTER_MS = 30_000;
 /** How long a retry of a suspected request waits for the crash check, ms: the round trip between any two regions, with a margin for a busy instance. */
 const CRASH_CHECK_TIMEOUT_MS = 100;
 /** Number of crashes attributed to a request from which a response to it is reported: after one more crash without a response, all instances would quarantine it. */
-const MIN_CRASHES_TO_REPORT_RESPONSE = CRASHES_OF_A_CAUSE - 1;
+const MIN_CRASHES_TO_REPORT_RESPONSE = MIN_CRASHES_PER_CAUSE - 1;
 
 /** Checks whether the target crashed; never rejects. */
 const checkForCrash = async (
@@ -40,16 +40,16 @@
   const { quarantine, answeredLately, crashReports } = execution.ctx;
   if (outcome.kind === 'lost' && outcome.reason === 'closed') {
     const crashCheck = checkForCrash(execution, target);
-    if (quarantine.crashesUnder(execution.asked) > 0)
+    if (quarantine.crashCount(execution.asked) > 0)
       await Promise.race([crashCheck, pause(CRASH_CHECK_TIMEOUT_MS)]);
     return;
   }
   // A target that fails some of its requests may respond with an error before it processes them.
   if (outcome.kind !== 'answer' || outcome.status >= FIRST_SERVER_ERROR) return;
-  answeredLately.note(execution.requestDigest);
+  answeredLately.add(execution.requestDigest);
   if (
-    !quarantine.idle &&
-    quarantine.crashesUnder(execution.asked) >= MIN_CRASHES_TO_REPORT_RESPONSE
+    !quarantine.isEmpty &&
+    quarantine.crashCount(execution.asked) >= MIN_CRASHES_TO_REPORT_RESPONSE
   )
     crashReports.answered(execution.asked);
 };
--- a/packages/gateway/src/requests/waitedBefore.ts
+++ b/packages/gateway/src/requests/priorWait.ts
@@ -10,11 +10,11 @@
 const TIMEOUT_VARIATION = 0.3;
 
 /** Tracks the longest timeout seen per route. Times in ms. */
-export class WaitedBefore {
+export class PriorWaitEstimator {
   private readonly longestTimeoutMs = new Map<RouteName, number>();
 
   /** Records an attempt's timeout and returns a lower bound of its caller's earlier waiting time. */
-  take(route: RouteName, statedMs: number): number {
+  estimate(route: RouteName, statedMs: number): number {
     const longestMs = Math.max(this.longestTimeoutMs.get(route) ?? 0, statedMs);
     this.longestTimeoutMs.set(route, longestMs);
     return Math.max(0, longestMs * (1 - TIMEOUT_VARIATION) - statedMs);
--- a/packages/gateway/src/requests/serving.ts
+++ b/packages/gateway/src/requests/requestExecution.ts
@@ -2,40 +2,40 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Span } from '@opentelemetry/api';
 import type { CrashReports } from '@cardamomladder/fleet';
-import type { AnsweredLately, Quarantine, RepeatBudget } from '@cardamomladder/steering';
+import type { RecentAnswers, Quarantine, RepeatBudget } from '@cardamomladder/steering';
 import type { GatewayMetrics } from '@cardamomladder/telemetry';
 import type {
-  AskedRequest,
+  IssuedRequest,
   CallerDigest,
   RequestDigest,
   ServiceName,
-  StoreMoment,
+  StorePosition,
   TargetId,
 } from '@cardamomladder/types';
 import type { DecisionLog } from '../decisionLog';
 import type { Attempt } from '../targets/attempt';
-import type { CrashWitness } from '../targets/crashWitness';
+import type { CrashDetector } from '../targets/crashDetector';
 import type { TargetRegistry } from '../targets/registry';
-import type { Wire } from '../wireNames';
-import { answerOwn } from './answers';
+import type { WireProtocol } from '../wireProtocol';
+import { sendGatewayResponse } from './responses';
 import type { CallerRequest } from './callerRequest';
 import { callerDigestOf, requestDigestOf } from './digest';
 
 /** Dependencies for handling requests, provided by the instance. */
 export interface ServeContext {
-  wire: Wire;
+  wire: WireProtocol;
   registry: TargetRegistry;
-  crashes: CrashWitness;
+  crashes: CrashDetector;
   quarantine: Quarantine;
-  answeredLately: AnsweredLately;
+  answeredLately: RecentAnswers;
   crashReports: Pick<CrashReports, 'answered'>;
-  budgetOf: (service: ServiceName) => RepeatBudget;
+  retryBudgetOf: (service: ServiceName) => RepeatBudget;
   /** Number of instances that share the retry budget. */
   fleetSize: () => number;
   /** True when customers authenticate with API keys, which must not be forwarded to targets. */
-  keysRequired: () => boolean;
+  apiKeysRequired: () => boolean;
   /** Versions of the configuration and of the store data in use, for the log. */
-  versions: () => { configuration: number } & StoreMoment;
+  versions: () => { configuration: number } & StorePosition;
   metrics: GatewayMetrics;
   log: DecisionLog;
   now: () => number;
@@ -70,7 +70,7 @@
     readonly span: Span,
   ) {
     const { usualPriority } = ctx.registry.forService(request.service);
-    this.urgent = usualPriority.take(request.priority);
+    this.urgent = usualPriority.observe(request.priority);
   }
 
   /** Sends for which no connection could be established. */
@@ -87,7 +87,7 @@
   }
 
   /** Digests of the request and its caller; the caller's is computed on first use, as few requests need it. */
-  get asked(): AskedRequest {
+  get asked(): IssuedRequest {
     this.cachedCallerDigest ??= callerDigestOf(this.request);
     return { request: this.requestDigest, caller: this.cachedCallerDigest };
   }
@@ -95,7 +95,7 @@
   /** True if the request is quarantined because it crashes targets. */
   get quarantined(): boolean {
     const { quarantine } = this.ctx;
-    return !quarantine.idle && quarantine.holds(this.asked);
+    return !quarantine.isEmpty && quarantine.holds(this.asked);
   }
 
   countSend(target: TargetId): void {
@@ -122,7 +122,7 @@
     if (this.ended) return;
     this.ended = outcome;
     if (outcome === 'timed-out' && !this.res.headersSent)
-      answerOwn(this.res, { status: 504, message: 'no answer in time' });
+      sendGatewayResponse(this.res, { status: 504, message: 'no answer in time' });
     this.currentAttempt?.cancel(outcome === 'timed-out' ? 'timeout' : 'cancelled');
   }
 }
--- a/packages/gateway/src/requests/answers.ts
+++ b/packages/gateway/src/requests/responses.ts
@@ -88,7 +88,7 @@
 
 const MS_PER_SECOND = 1000;
 
-export const answerOwn = (res: ServerResponse, response: GatewayResponse): void => {
+export const sendGatewayResponse = (res: ServerResponse, response: GatewayResponse): void => {
   const body = JSON.stringify({ message: response.message });
   const headers: OutgoingHttpHeaders = {
     'content-type': 'application/json',
--- a/packages/gateway/src/requests/repeatBudgets.ts
+++ b/packages/gateway/src/requests/retryBudgets.ts
@@ -6,7 +6,7 @@
 const MS_PER_SECOND = 1000;
 
 /** Returns a function that finds a service's budget; the bounds are read when the budget is created. */
-export const repeatBudgets = (
+export const createRetryBudgets = (
   bounds: () => InstanceSettings['bounds'],
 ): ((service: ServiceName) => RepeatBudget) => {
   const budgets = new Map<ServiceName, RepeatBudget>();
--- a/packages/gateway/src/requests/retryPolicy.ts
+++ b/packages/gateway/src/requests/retryPolicy.ts
@@ -4,9 +4,9 @@
  * only if the previous send is known not to have run.
  */
 import type { RequestKind } from '@cardamomladder/routing';
-import { repeatable } from '@cardamomladder/routing';
-import type { LongestKnown } from '@cardamomladder/steering';
-import { overdueAfter } from '@cardamomladder/steering';
+import { isIdempotent } from '@cardamomladder/routing';
+import type { PeakEstimate } from '@cardamomladder/steering';
+import { overdueAfterMs } from '@cardamomladder/steering';
 import type { AttemptOutcome } from '../targets/attempt';
 import { isFramed } from '../targets/attempt';
 
@@ -17,7 +17,7 @@
 /** True if a retry may help and can't break at-most-once execution. */
 export const shouldRetry = (kind: RequestKind, outcome: AttemptOutcome): boolean => {
   if (outcome.kind === 'not-run') return true;
-  if (!repeatable(kind)) return false;
+  if (!isIdempotent(kind)) return false;
   if (outcome.kind === 'lost') return outcome.reason !== 'cancelled';
   if (outcome.remaining !== undefined) return false;
   // A response without framing may be truncated.
@@ -27,9 +27,9 @@
 /** The longest recent response times, which determine a send's timeout and whether a retry can finish in time. */
 export interface ExpectedLatency {
   /** Of sends of the same kind: to targets that have the object cached, or to those that don't. */
-  send: LongestKnown;
+  send: PeakEstimate;
   /** Of sends like the retry, whose target most likely doesn't have the object cached. */
-  retry: LongestKnown;
+  retry: PeakEstimate;
 }
 
 /**
@@ -41,7 +41,7 @@
  */
 export const retryTimeoutMs = (leftMs: number, longest: ExpectedLatency): number | undefined => {
   const { send, retry } = longest;
-  const waitMs = overdueAfter(send);
+  const waitMs = overdueAfterMs(send);
   if (waitMs === undefined) return undefined;
   return waitMs + Math.max(retry.ms, send.ms) <= leftMs ? waitMs : undefined;
 };
--- a/packages/gateway/src/requests/send.ts
+++ b/packages/gateway/src/requests/send.ts
@@ -1,15 +1,15 @@
 /** Sends a request to one target: sets its headers, tracks load, and records the outcome. */
 import type { OutgoingHttpHeaders } from 'node:http';
 import { SpanKind, context, trace } from '@opentelemetry/api';
-import { repeatable } from '@cardamomladder/routing';
-import { overdueAfter } from '@cardamomladder/steering';
+import { isIdempotent } from '@cardamomladder/routing';
+import { overdueAfterMs } from '@cardamomladder/steering';
 import { tracer } from '@cardamomladder/telemetry';
 import type { AttemptOutcome } from '../targets/attempt';
 import { sendAttempt } from '../targets/attempt';
 import type { ReachableTarget } from '../targets/registry';
-import { CREDENTIALS_HEADER } from '../wireNames';
-import { forwardedHeaders } from './answers';
-import type { RequestExecution } from './serving';
+import { CREDENTIALS_HEADER } from '../wireProtocol';
+import { forwardedHeaders } from './responses';
+import type { RequestExecution } from './requestExecution';
 import { applyStatement } from './targetStatements';
 import { recordOutcome } from './targetHealth';
 
@@ -20,12 +20,12 @@
   const names = ctx.wire.headers;
   const headers = forwardedHeaders(req);
   delete headers.expect;
-  if (ctx.keysRequired()) {
+  if (ctx.apiKeysRequired()) {
     delete headers[CREDENTIALS_HEADER];
     delete headers[names.customer];
   }
   if (request.customer) headers[names.customer] = request.customer.name;
-  headers[names.waitMs] = Math.max(1, Math.floor(request.finalAt - ctx.now()));
+  headers[names.waitMs] = Math.max(1, Math.floor(request.deadlineAt - ctx.now()));
   headers[names.onlyTarget] = target.placed.id;
   if (request.body) headers['content-length'] = request.body.length;
   return headers;
@@ -44,7 +44,7 @@
     send: sends,
     result,
     ms: Math.round(ms),
-    busy: load.own + load.others,
+    busy: load.ownRequests + load.otherRequests,
     slots: placed.slots,
     loadAgeMs: load.reportedAt === undefined ? undefined : Math.round(ctx.now() - load.reportedAt),
     asked: execution.asked,
@@ -62,7 +62,9 @@
 /** Expected maximum duration of a send, ms; Infinity if unknown. */
 const expectedMs = ({ request, ctx }: RequestExecution, likelyCached: boolean): number => {
   const { longest } = ctx.registry.forService(request.service);
-  return overdueAfter(longest[likelyCached ? 'cached' : 'uncached'].now(ctx.now())) ?? Infinity;
+  return (
+    overdueAfterMs(longest[likelyCached ? 'cached' : 'uncached'].estimateAt(ctx.now())) ?? Infinity
+  );
 };
 
 /** Starts sending the request to a target. */
@@ -71,15 +73,17 @@
   const { placed } = target;
   const connections = target.connections();
   const sentAt = ctx.now();
-  connections.closeStaleConnections(repeatable(request.route.kind) ? 'may-repeat' : 'at-most-once');
+  connections.closeStaleConnections(
+    isIdempotent(request.route.kind) ? 'may-repeat' : 'at-most-once',
+  );
   const isCold = placed.coldUntil > sentAt;
   if (isCold) placed.coldSends.add(sentAt);
   execution.countSend(placed.id);
-  const likelyCached = placed.objects.has(request.key);
-  const sent = { likelyCached, busy: placed.load.busyAt(sentAt) };
-  placed.load.own += 1;
-  const endSend = placed.unanswered.begin(sentAt, expectedMs(execution, likelyCached && !isCold));
-  placed.objects.note(request.key);
+  const likelyCached = placed.cachedObjects.has(request.key);
+  const sent = { likelyCached, busy: placed.load.requestsAt(sentAt) };
+  placed.load.ownRequests += 1;
+  const endSend = placed.unanswered.start(sentAt, expectedMs(execution, likelyCached && !isCold));
+  placed.cachedObjects.add(request.key);
   const parent = trace.setSpan(context.active(), execution.span);
   const span = spans.startSpan('gateway.send', { kind: SpanKind.CLIENT }, parent);
   const attempt = sendAttempt({
@@ -90,23 +94,23 @@
     headers: sendHeaders(execution, target),
     body: request.body,
     requestId: request.id,
-    timeoutMs: request.finalAt - sentAt,
+    timeoutMs: request.deadlineAt - sentAt,
     connections,
     wire: ctx.wire,
     onStatement: (statement, source) => applyStatement({ statement, source, sentAt }, placed, ctx),
   });
   execution.setCurrentAttempt(attempt);
   const outcome = attempt.outcome.then((result) => {
-    placed.load.own -= 1;
-    const silent = placed.unanswered.silentAt(ctx.now());
+    placed.load.ownRequests -= 1;
+    const silent = placed.unanswered.isUnresponsive(ctx.now());
     endSend(result.kind === 'lost' ? 'lost' : 'answered', ctx.now());
     const tookMs = ctx.now() - sentAt;
     recordOutcome(placed, result, tookMs, { ...sent, silent }, ctx.now());
     if (result.kind === 'answer') {
       const { longest } = ctx.registry.forService(request.service);
-      longest[likelyCached ? 'cached' : 'uncached'].take(tookMs, ctx.now());
+      longest[likelyCached ? 'cached' : 'uncached'].record(tookMs, ctx.now());
     }
-    if (result.kind === 'not-run' && !likelyCached) placed.objects.forget(request.key);
+    if (result.kind === 'not-run' && !likelyCached) placed.cachedObjects.delete(request.key);
     span.end();
     const name = result.kind === 'answer' ? String(result.status) : result.reason;
     ctx.metrics.attempts.inc({ result: result.kind === 'answer' ? 'answer' : result.reason });
--- a/packages/gateway/src/requests/serve.ts
+++ b/packages/gateway/src/requests/serve.ts
@@ -4,19 +4,19 @@
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Span } from '@opentelemetry/api';
-import { repeatable } from '@cardamomladder/routing';
+import { isIdempotent } from '@cardamomladder/routing';
 import type { Locality } from '@cardamomladder/steering';
 import { describeTargets, place } from '@cardamomladder/steering';
 import type { AttemptOutcome } from '../targets/attempt';
 import type { ReachableTarget } from '../targets/registry';
-import { answerOwn, relay } from './answers';
+import { sendGatewayResponse, relay } from './responses';
 import type { CallerRequest } from './callerRequest';
 import { QUARANTINE_RETRY_AFTER_MS, recordCrashEvidence } from './crashEvidence';
 import { MIN_SEND_TIME_MS, retryTimeoutMs, shouldRetry } from './retryPolicy';
 import type { Send } from './send';
 import { startSend } from './send';
-import type { ServeContext, ServeOutcome } from './serving';
-import { RequestExecution } from './serving';
+import type { ServeContext, ServeOutcome } from './requestExecution';
+import { RequestExecution } from './requestExecution';
 
 type TargetResponse = Extract<AttemptOutcome, { kind: 'answer' }>;
 
@@ -34,7 +34,7 @@
       locality: localityOf(request),
       homeRegions: request.homeRegions,
       objectiveMs: route.latencyObjectiveMs,
-      lateAlready: request.waitedBeforeMs > (route.latencyObjectiveMs ?? Infinity),
+      objectiveMissed: request.waitedBeforeMs > (route.latencyObjectiveMs ?? Infinity),
       urgent: execution.urgent,
       tried,
       now: ctx.now(),
@@ -52,7 +52,7 @@
   target: ReachableTarget | undefined,
   { ctx }: RequestExecution,
 ): ReachableTarget | undefined => {
-  target?.placed.selfReport.limit.take(ctx.now());
+  target?.placed.selfReport.limit.recordSend(ctx.now());
   return target;
 };
 
@@ -64,15 +64,17 @@
   const { request, ctx, sends } = execution;
   if (execution.ended || !execution.maySendMore || execution.quarantined) return undefined;
   if (!shouldRetry(request.route.kind, outcome)) return undefined;
-  if (request.finalAt - ctx.now() < MIN_SEND_TIME_MS) return undefined;
+  if (request.deadlineAt - ctx.now() < MIN_SEND_TIME_MS) return undefined;
   const choice = chooseTarget(execution);
   if (choice.kind === 'rejected') return undefined;
   const target = ctx.registry.get(choice.target.id);
   // A send without a connection put no load on any target, so its retry is free.
   const exemptFromBudget = outcome.kind === 'not-run' && outcome.reason === 'unreachable';
   const granted =
-    target && (exemptFromBudget || ctx.budgetOf(request.service).spend(ctx.now(), ctx.fleetSize()));
-  ctx.metrics.repeats.inc({ granted: granted ? 'yes' : 'no' });
+    target &&
+    (exemptFromBudget ||
+      ctx.retryBudgetOf(request.service).tryWithdraw(ctx.now(), ctx.fleetSize()));
+  ctx.metrics.retryBudgetRequests.inc({ granted: granted ? 'yes' : 'no' });
   if (!granted) ctx.log.write('repeat-refused', request.id, { reason: 'budget', sends });
   return granted ? consumeRateLimit(target, execution) : undefined;
 };
@@ -86,13 +88,13 @@
   { placed }: ReachableTarget,
 ): Promise<ReachableTarget | undefined> => {
   const { request, ctx } = execution;
-  if (!repeatable(request.route.kind) || !execution.maySendMore) return undefined;
+  if (!isIdempotent(request.route.kind) || !execution.maySendMore) return undefined;
   const { longest } = ctx.registry.forService(request.service);
   const now = ctx.now();
   const cold = placed.coldUntil > now;
-  const waitMs = retryTimeoutMs(request.finalAt - now, {
-    send: longest[send.likelyCached && !cold ? 'cached' : 'uncached'].now(now),
-    retry: longest.uncached.now(now),
+  const waitMs = retryTimeoutMs(request.deadlineAt - now, {
+    send: longest[send.likelyCached && !cold ? 'cached' : 'uncached'].estimateAt(now),
+    retry: longest.uncached.estimateAt(now),
   });
   if (waitMs === undefined) return undefined;
   let timer: NodeJS.Timeout | undefined;
@@ -135,7 +137,7 @@
     waitedBeforeMs: Math.round(request.waitedBeforeMs),
     ...placementDetails(execution),
   }));
-  answerOwn(res, { status: 503, message: `not run: ${reason}`, retryAfterMs });
+  sendGatewayResponse(res, { status: 503, message: `not run: ${reason}`, retryAfterMs });
   return 'rejected';
 };
 
@@ -165,7 +167,7 @@
   const { reason } = outcome;
   if (reason === 'timeout') return timeOut(execution);
   ctx.log.write('failed', request.id, { reason, sends: execution.sends, mayHaveRun });
-  answerOwn(res, { status: 502, message: `no usable answer: ${reason}` });
+  sendGatewayResponse(res, { status: 502, message: `no usable answer: ${reason}` });
   return 'failed';
 };
 
@@ -204,8 +206,8 @@
   span: Span,
 ): Promise<ServeOutcome> => {
   const execution = new RequestExecution(request, req, res, ctx, span);
-  ctx.budgetOf(request.service).earn(ctx.now());
-  const timeLeftMs = Math.max(0, request.finalAt - ctx.now());
+  ctx.retryBudgetOf(request.service).deposit(ctx.now());
+  const timeLeftMs = Math.max(0, request.deadlineAt - ctx.now());
   const timer = setTimeout(() => {
     if (!res.headersSent) timeOut(execution);
   }, timeLeftMs);
@@ -214,7 +216,7 @@
     ctx.log.write('caller-left', request.id, {
       sends: execution.sends,
       waitedMs: Math.round(ctx.now() - request.arrivedAt),
-      allowedMs: Math.round(request.finalAt - request.arrivedAt),
+      allowedMs: Math.round(request.deadlineAt - request.arrivedAt),
     });
     execution.abort('caller-left');
   };
--- a/packages/gateway/src/requests/targetHealth.ts
+++ b/packages/gateway/src/requests/targetHealth.ts
@@ -2,8 +2,8 @@
  * Updates a target's state from the outcome of each send: load, response time,
  * and backoff after failures.
  */
-import type { PlacedTarget } from '@cardamomladder/steering';
-import { learnAnswerMs } from '@cardamomladder/steering';
+import type { TargetState } from '@cardamomladder/steering';
+import { updateResponseMs } from '@cardamomladder/steering';
 import type { AttemptOutcome } from '../targets/attempt';
 
 /** Initial backoff after a failed connection or lost responses, ms; doubled with each consecutive failure. */
@@ -27,18 +27,18 @@
   silent?: boolean;
 }
 
-const backOff = (target: PlacedTarget, now: number): void => {
+const backOff = (target: TargetState, now: number): void => {
   target.avoidUntil =
     now + Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (target.failures - 1));
 };
 
-const recordResponse = (target: PlacedTarget, ms: number, sent: SendState): void => {
+const recordResponse = (target: TargetState, ms: number, sent: SendState): void => {
   target.failures = 0;
-  if (sent.likelyCached) learnAnswerMs(target, ms, sent.busy);
+  if (sent.likelyCached) updateResponseMs(target, ms, sent.busy);
 };
 
 const recordNotRun = (
-  target: PlacedTarget,
+  target: TargetState,
   outcome: Extract<AttemptOutcome, { kind: 'not-run' }>,
   now: number,
 ): void => {
@@ -54,14 +54,14 @@
 
 /** Records the outcome of a send that took `ms`. */
 export const recordOutcome = (
-  target: PlacedTarget,
+  target: TargetState,
   outcome: AttemptOutcome,
   ms: number,
   sent: SendState,
   now: number,
 ): void => {
   if ('load' in outcome && outcome.load)
-    target.load.takeReport(outcome.load.running, outcome.load.waiting, now);
+    target.load.recordReport(outcome.load.running, outcome.load.waiting, now);
   if (outcome.kind === 'answer') {
     recordResponse(target, ms, sent);
   } else if (outcome.kind === 'not-run') {
--- a/packages/gateway/src/requests/targetStatements.ts
+++ b/packages/gateway/src/requests/targetStatements.ts
@@ -1,8 +1,8 @@
 /** Applies what targets report about themselves in their responses. */
-import type { HeardLimit, PlacedTarget } from '@cardamomladder/steering';
+import type { LimitObservation, TargetState } from '@cardamomladder/steering';
 import type { ResponseSource } from '../targets/attempt';
-import type { TargetStatement } from '../wireNames';
-import type { ServeContext } from './serving';
+import type { TargetStatement } from '../wireProtocol';
+import type { ServeContext } from './requestExecution';
 
 /** A target's statement, and the response that carried it. */
 export interface ReceivedStatement {
@@ -15,13 +15,13 @@
 type StatementContext = Pick<ServeContext, 'registry' | 'log' | 'now'>;
 
 const applyLimit = (
-  received: HeardLimit,
-  { id, selfReport }: PlacedTarget,
+  received: LimitObservation,
+  { id, selfReport }: TargetState,
   { log, now }: StatementContext,
 ): void => {
   const { limit } = selfReport;
   const before = limit.perSecond;
-  if (!limit.hear(received, now())) return;
+  if (!limit.observe(received, now())) return;
   log.write('target-limit', undefined, {
     target: id,
     perSecond: limit.perSecond,
@@ -30,7 +30,7 @@
   });
 };
 
-const applyLeaving = (target: PlacedTarget, { registry, log }: StatementContext): void => {
+const applyLeaving = (target: TargetState, { registry, log }: StatementContext): void => {
   if (!registry.markLeaving(target)) return;
   log.write('target-leaving', undefined, { target: target.id, believedLeaving: target.leaving });
 };
@@ -38,7 +38,7 @@
 /** Longest pause, ms: a target that requests a longer one is tried again after this time. */
 const MAX_PAUSE_MS = 3_600_000;
 
-const applyPause = (restMs: number, target: PlacedTarget, { log, now }: StatementContext): void => {
+const applyPause = (restMs: number, target: TargetState, { log, now }: StatementContext): void => {
   const { id, selfReport } = target;
   const until = now() + Math.min(restMs, MAX_PAUSE_MS);
   // A later request for a shorter pause does not shorten the current one.
@@ -50,7 +50,7 @@
 /** Applies a target's statement and logs the changes. */
 export const applyStatement = (
   { statement, source, sentAt }: ReceivedStatement,
-  target: PlacedTarget,
+  target: TargetState,
   ctx: StatementContext,
 ): void => {
   const { leaving, restMs, limitPerSecond: perSecond } = statement;
--- a/packages/gateway/src/server/__tests__/directory.test.ts
+++ b/packages/gateway/src/server/__tests__/directory.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import type { InstanceEntry } from '@cardamomladder/fleet';
 import { failureDomainName, instanceId, regionName, socketAddress } from '@cardamomladder/types';
-import { strongOf } from '@cardamomladder/fleet';
+import { highCapacityInstances } from '@cardamomladder/fleet';
 import { nearestInstances } from '../directory';
 
 const machine = (
@@ -28,19 +28,19 @@
     // advertised alike, callers chose one at random, and six of seven were
     // machines with a 10 Mbit/s link.
     const group = [...several(2, 1.35, 200, 'strong'), ...several(12, 0.27, 10, 'weak')];
-    expect(idsOf(strongOf(group))).toEqual(['strong-0', 'strong-1']);
+    expect(idsOf(highCapacityInstances(group))).toEqual(['strong-0', 'strong-1']);
   });
 
   it('are all instances if the machines are alike', () => {
     const group = [machine('a', 0.54, 1000), machine('b', 0.6, 900), machine('c', 0.5, 1000)];
-    expect(strongOf(group)).toEqual(group);
+    expect(highCapacityInstances(group)).toEqual(group);
   });
 
   it('are all instances if the strong ones have too little capacity', () => {
     const oneLeft = [...several(1, 1.35, 200, 'strong'), ...several(2, 0.27, 10, 'weak')];
-    expect(strongOf(oneLeft)).toEqual(oneLeft);
+    expect(highCapacityInstances(oneLeft)).toEqual(oneLeft);
     const outnumbered = [...several(2, 1.35, 200, 'strong'), ...several(30, 0.27, 10, 'weak')];
-    expect(strongOf(outnumbered)).toEqual(outnumbered);
+    expect(highCapacityInstances(outnumbered)).toEqual(outnumbered);
   });
 
   it('are compared only within the selected group, not with strong machines of other failure domains', () => {
--- a/packages/gateway/src/server/auxiliaryServers.ts
+++ b/packages/gateway/src/server/auxiliaryServers.ts
@@ -3,7 +3,7 @@
 import { createServer } from 'node:http';
 import type { GatewayMetrics } from '@cardamomladder/telemetry';
 import type { SocketAddress } from '@cardamomladder/types';
-import type { DirectoryQuestion, Wire } from '../wireNames';
+import type { DirectoryQuery, WireProtocol } from '../wireProtocol';
 
 /** Keep-alive timeout of directory connections, ms. */
 const DIRECTORY_KEEP_ALIVE_MS = 5000;
@@ -23,27 +23,28 @@
 
 /** Creates the directory server; `lookUp` returns the addresses for a query. */
 export const createDirectoryServer = (
-  wire: Wire,
-  lookUp: (query: DirectoryQuestion) => SocketAddress[],
+  wire: WireProtocol,
+  lookUp: (query: DirectoryQuery) => SocketAddress[],
   ttlSeconds: number,
 ): Server => {
   const server = createServer((req, res) => {
     const url = urlOf(req);
-    const query = url && wire.directoryQuestion(url);
+    const query = url && wire.parseDirectoryQuery(url);
     if (!query) {
       sendText(res, 404, 'ask for the instances of a failure domain');
       return;
     }
     const addresses = lookUp(query);
     if (addresses.length === 0) sendText(res, 503, 'no instance is known');
-    else sendText(res, 200, wire.directoryAnswer(addresses, ttlSeconds), 'application/json');
+    else
+      sendText(res, 200, wire.formatDirectoryResponse(addresses, ttlSeconds), 'application/json');
   });
   server.keepAliveTimeout = DIRECTORY_KEEP_ALIVE_MS;
   return server;
 };
 
 /** Creates the readiness server, which reports whether this instance accepts callers. */
-export const createReadinessServer = (wire: Wire, ready: () => boolean): Server =>
+export const createReadinessServer = (wire: WireProtocol, ready: () => boolean): Server =>
   createServer((req, res) => {
     if (urlOf(req)?.pathname !== wire.readinessPath) sendText(res, 404, 'ask for readiness');
     else if (ready()) sendText(res, 200, 'ready');
