--- a/packages/bench/src/customers.ts
+++ b/packages/bench/src/customers.ts
@@ -20,12 +20,12 @@
   const customers = syntheticCustomers(keys);
   const table = customerTable(customers);
   const self = instanceId('i-1');
-  const holders = { ids: [self], size: 1 };
+  const sharers = { ids: [self], size: 1 };
   let now = 0;
   const allowances = new LocalQuotas({
     self,
     tolerance: { windowMs: 5000, overage: 0.1, slack: 20 },
-    sharers: () => holders,
+    sharers: () => sharers,
     startedAt: 0,
     now: () => now,
   });
--- a/packages/fleet/src/__tests__/crashReports.test.ts
+++ b/packages/fleet/src/__tests__/crashReports.test.ts
@@ -49,10 +49,10 @@
       },
     },
     index: {
-      file: (key, _place, report) => indexed.set(key, report),
+      add: (key, _place, report) => indexed.set(key, report),
       all: () => [...indexed].map(([key, report]) => ({ key, report, place: PLACE })),
-      knows: (key) => indexed.has(key),
-      drop: (key) => indexed.delete(key),
+      has: (key) => indexed.has(key),
+      remove: (key) => indexed.delete(key),
       olderThan: (ms) => (ms === REPORT_RETENTION_MS ? expiredKeys : []),
     },
     fleetSize: () => 100,
--- a/packages/fleet/src/crashReports.ts
+++ b/packages/fleet/src/crashReports.ts
@@ -47,10 +47,10 @@
 
 /** Index of the reports in effect on this instance. */
 export interface CrashReportIndex {
-  file: (key: string, position: StorePosition, report: CrashReport) => void;
+  add: (key: string, position: StorePosition, report: CrashReport) => void;
   all: () => readonly { key: string; report: CrashReport; place: StorePosition }[];
-  knows: (key: string) => boolean;
-  drop: (key: string) => void;
+  has: (key: string) => boolean;
+  remove: (key: string) => void;
   olderThan: (ms: number) => string[];
 }
 
@@ -132,9 +132,9 @@
   }
 
   /** Adds reports from a peer. The peer may be unable to write them, so this instance does if it reaches the store. */
-  hear(reports: readonly ForwardedReport[], storeReached: boolean): void {
+  receive(reports: readonly ForwardedReport[], storeReached: boolean): void {
     const { store, index, log } = this.options;
-    const newReports = reports.filter(({ id }) => !index.knows(store.reportKey(id)));
+    const newReports = reports.filter(({ id }) => !index.has(store.reportKey(id)));
     if (newReports.length === 0) return;
     newReports.forEach((received) => {
       this.indexUnwritten(received.id, received.report);
@@ -192,13 +192,13 @@
       epoch: this.options.epoch(),
       revision: UNWRITTEN_BASE_REVISION + this.filed,
     };
-    index.file(store.reportKey(id), position, report);
+    index.add(store.reportKey(id), position, report);
   }
 
   private refile({ key, report, place }: ReturnType<CrashReportIndex['all']>[number]): void {
     const id = this.options.store.reportId(key);
     const isPending = this.builder?.id === id || this.waiting.some((each) => each.id === id);
-    if (isPending || !this.options.index.knows(key)) return;
+    if (isPending || !this.options.index.has(key)) return;
     const isWritten = place.revision < UNWRITTEN_BASE_REVISION;
     this.enqueue({ id, report: isWritten ? { ...report, place } : report });
   }
@@ -282,7 +282,7 @@
       log('failed', `removal of expired reports: ${failure.message}`);
     const removed = () => {
       keys.forEach((key) => {
-        index.drop(key);
+        index.remove(key);
         this.ownKeys.delete(key);
         this.removed.add(key);
       });
--- a/packages/gateway/src/components.ts
+++ b/packages/gateway/src/components.ts
@@ -41,7 +41,7 @@
   recentPeers: RecentPeers;
   fleet: FleetMembers;
   /** The instances that the directory advertises to callers. */
-  named: AdvertisedInstances;
+  advertised: AdvertisedInstances;
   /** Requests that are not sent to targets because they crash them. */
   quarantine: Quarantine;
   recentAnswers: RecentAnswers;
@@ -74,8 +74,8 @@
   const quarantine = new Quarantine(now);
   clusterState.changes.subscribe((change) => {
     if (change.kind === 'crash-report')
-      quarantine.file(change.key, positionOf(change), change.report);
-    if (change.kind === 'crash-report-gone') quarantine.drop(change.key);
+      quarantine.add(change.key, positionOf(change), change.report);
+    if (change.kind === 'crash-report-gone') quarantine.remove(change.key);
   });
   quarantine.changes.subscribe((held) =>
     log.write('quarantine', undefined, { held: [...held], revision: clusterState.revision }),
@@ -150,7 +150,7 @@
     self: ownEntryOf(settings()),
     recentPeers,
     fleet,
-    named: new AdvertisedInstances(clusterState, now),
+    advertised: new AdvertisedInstances(clusterState, now),
     quarantine,
     recentAnswers: new RecentAnswers(now),
     crashReports: createCrashReports({ store, clusterState, fleet, log, now }, quarantine),
--- a/packages/gateway/src/lifecycle/__tests__/advertisedInstances.test.ts
+++ b/packages/gateway/src/lifecycle/__tests__/advertisedInstances.test.ts
@@ -32,7 +32,7 @@
     revision += 1;
     clusterState.applyChange({ key: key(id), revision, removed: true });
   };
-  const ids = () => [...advertised.holders().ids].sort();
+  const ids = () => [...advertised.sharers().ids].sort();
   return { clock, advertised, join, leave, ids };
 };
 
@@ -52,8 +52,8 @@
   it('are assumed to be more after startup, when not all entries may be known', () => {
     const { clock, advertised, join } = fleet();
     join(machine('s-1', 1));
-    expect(advertised.holders().size).toBe(10);
+    expect(advertised.sharers().size).toBe(10);
     clock.now = 4000;
-    expect(advertised.holders().size).toBe(1);
+    expect(advertised.sharers().size).toBe(1);
   });
 });
--- a/packages/gateway/src/lifecycle/advertisedInstances.ts
+++ b/packages/gateway/src/lifecycle/advertisedInstances.ts
@@ -49,7 +49,7 @@
   }
 
   /** The instances among which limits are divided; returns the same object until they change. */
-  holders(): SharingInstances {
+  sharers(): SharingInstances {
     if (this.stale) this.refresh();
     if (this.recentlyRemoved.prune()) this.cachedSharers = undefined;
     this.cachedSharers ??= this.computeSharers();
--- a/packages/gateway/src/listeners.ts
+++ b/packages/gateway/src/listeners.ts
@@ -45,7 +45,7 @@
   settings,
   clusterState,
   fleet,
-  named,
+  advertised,
   self,
   now,
 }: Components): TargetRegistry => {
@@ -53,7 +53,7 @@
   return new TargetRegistry({
     clusterState,
     fleet,
-    named,
+    advertised,
     ownRegion: self.region,
     ownDomain: self.failureDomain,
     regionByDomain: failureDomains,
@@ -107,14 +107,14 @@
 const MS_PER_SECOND = 1000;
 
 const createQuotas = (
-  { settings, self, clusterState, named, log, now }: Components,
+  { settings, self, clusterState, advertised, log, now }: Components,
   { storeHeardMsAgo }: Follower,
 ): Quotas => {
   const { quotaWindowSeconds, quotaOverage, quotaSlack } = settings().bounds;
   return startQuotas({
     self: self.id,
     clusterState,
-    named,
+    advertised,
     tolerance: {
       windowMs: quotaWindowSeconds * MS_PER_SECOND,
       overage: quotaOverage,
--- a/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
+++ b/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
@@ -138,7 +138,7 @@
       crashReports: {
         mark: { log: self.id, sequence: 0 },
         after: () => ({ mark: { log: self.id, sequence: 0 }, reports: [] }),
-        hear: () => {},
+        receive: () => {},
       },
       recordPeer: recentPeers.record.bind(recentPeers),
       now,
--- a/packages/gateway/src/peers/__tests__/reportSpread.test.ts
+++ b/packages/gateway/src/peers/__tests__/reportSpread.test.ts
@@ -71,8 +71,8 @@
   const theirs = peer.reports.after(asker.receivedMarks.get(name));
   if (own.reports.length === 0 && theirs.reports.length === 0) return;
   const request = reportsRequest.parse(JSON.parse(JSON.stringify({ reports: own.reports })));
-  peer.reports.hear(request.reports, false);
-  asker.reports.hear(theirs.reports, false);
+  peer.reports.receive(request.reports, false);
+  asker.reports.receive(theirs.reports, false);
   asker.sentMarks.set(name, own.mark);
   asker.receivedMarks.set(name, theirs.mark);
   Object.assign(asker, { asked: asker.asked + 1 });
--- a/packages/gateway/src/peers/reportExchange.ts
+++ b/packages/gateway/src/peers/reportExchange.ts
@@ -18,7 +18,7 @@
 
 /** Dependencies of the exchange. */
 export interface ExchangeOptions {
-  crashReports: Pick<CrashReports, 'mark' | 'after' | 'hear'>;
+  crashReports: Pick<CrashReports, 'mark' | 'after' | 'receive'>;
   /** True while this instance itself reaches the store. */
   storeReached: () => boolean;
   log: DecisionLog;
@@ -47,7 +47,7 @@
     });
     const theirs = reportsResponse.parse(raw);
     const isLatest = hasAllReports(crashReports.mark, own.mark);
-    crashReports.hear(theirs.reports, storeReached());
+    crashReports.receive(theirs.reports, storeReached());
     // Reports just received from the peer need not be sent back to it.
     const receivedNew = isLatest && !hasAllReports(crashReports.mark, own.mark);
     stateByAddress.set(address, {
--- a/packages/gateway/src/peers/router.ts
+++ b/packages/gateway/src/peers/router.ts
@@ -36,7 +36,7 @@
 export interface PeerRouterOptions {
   clusterState: ClusterState;
   follower: Follower;
-  crashReports: Pick<CrashReports, 'mark' | 'after' | 'hear'>;
+  crashReports: Pick<CrashReports, 'mark' | 'after' | 'receive'>;
   recordPeer: (asker: InstanceEntry) => void;
   /** Lends tokens of the customers whose token pools this instance keeps. */
   lend: (question: TokenRequest) => TokenResponse;
@@ -184,7 +184,7 @@
       }),
     reports: t.procedure.input(reportsRequest).mutation(({ input }): ForwardedReports => {
       const answer = crashReports.after(input.after);
-      crashReports.hear(input.reports, follower.status.value.reached);
+      crashReports.receive(input.reports, follower.status.value.reached);
       return answer;
     }),
     tokens: t.procedure.input(tokenRequest).mutation(({ input }): TokenResponse => lend(input)),
--- a/packages/gateway/src/quota/quotas.ts
+++ b/packages/gateway/src/quota/quotas.ts
@@ -20,7 +20,7 @@
   self: InstanceId;
   clusterState: ClusterState;
   /** The instances that callers are sent to. */
-  named: Pick<AdvertisedInstances, 'holders'>;
+  advertised: Pick<AdvertisedInstances, 'sharers'>;
   tolerance: QuotaTolerance;
   /** Time since the store was last heard, directly or through a relay, ms. */
   storeHeardMsAgo: () => number;
@@ -41,7 +41,7 @@
   /** Takes a token for one request of a customer; the request may have to wait for it. */
   admit: (customer: Customer) => Admission | Promise<Admission>;
   /** Returns the token of a request that was not executed. */
-  putBack: (customer: Customer) => void;
+  refund: (customer: Customer) => void;
   /** State of a customer's limit at this instance, for the log. */
   describe: (customer: Customer) => Record<string, number>;
   /** Handles a peer's token request. */
@@ -75,12 +75,12 @@
 
 /** Starts an instance's quotas. */
 export const startQuotas = (options: QuotaOptions): Quotas => {
-  const { self, clusterState, named, tolerance, storeHeardMsAgo, log, now } = options;
+  const { self, clusterState, advertised, tolerance, storeHeardMsAgo, log, now } = options;
   let lenders = currentLenders(options);
   const localQuotas = new LocalQuotas({
     self,
     tolerance,
-    sharers: () => named.holders(),
+    sharers: () => advertised.sharers(),
     startedAt: PROCESS_START,
     now,
   });
@@ -88,7 +88,7 @@
     self,
     tolerance,
     isLender: (customer) => lenderOf(customer, lenders)?.id === self,
-    sharers: () => named.holders(),
+    sharers: () => advertised.sharers(),
     startedAt: PROCESS_START,
     now,
   });
@@ -120,7 +120,7 @@
   });
   const rounds = startTokenRounds({
     self,
-    lenders: () => (hasLimits && named.holders().ids.includes(self) ? lenders : []),
+    lenders: () => (hasLimits && advertised.sharers().ids.includes(self) ? lenders : []),
     localQuotas,
     lenderOf: (customer) => lenderOf(customer, lenders),
     lend,
@@ -135,7 +135,7 @@
       if (quota.shouldAskNow(now())) rounds.askNow(name);
       return decision;
     },
-    putBack: ({ name }) => localQuotas.of(name)?.refund(now()),
+    refund: ({ name }) => localQuotas.of(name)?.refund(now()),
     describe: ({ name, limit }) => ({
       limitPerSecond: limit?.perSecond ?? 0,
       burst: limit?.burst ?? 0,
--- a/packages/gateway/src/requests/__tests__/crashEvidence.test.ts
+++ b/packages/gateway/src/requests/__tests__/crashEvidence.test.ts
@@ -22,7 +22,7 @@
   const quarantine = new Quarantine(() => 0);
   const recentAnswers = new RecentAnswers(() => 0);
   const reported: IssuedRequest[] = [];
-  quarantine.file(
+  quarantine.add(
     'north',
     { epoch: storeEpoch(0), revision: 1 },
     {
--- a/packages/gateway/src/server/admit.ts
+++ b/packages/gateway/src/server/admit.ts
@@ -5,7 +5,7 @@
 
 /** Waits for a token if one may become available; returns `left` if the caller disconnects meanwhile. */
 export const admit = async (
-  quotas: Pick<Quotas, 'admit' | 'putBack'>,
+  quotas: Pick<Quotas, 'admit' | 'refund'>,
   customer: Customer,
   res: ServerResponse,
 ): Promise<Admission | { kind: 'left' }> => {
@@ -19,6 +19,6 @@
   const admission = await decision;
   res.removeListener('close', onClose);
   if (!hasDisconnected) return admission;
-  if (admission.kind === 'admitted') quotas.putBack(customer);
+  if (admission.kind === 'admitted') quotas.refund(customer);
   return { kind: 'left' };
 };
--- a/packages/gateway/src/server/callerServer.ts
+++ b/packages/gateway/src/server/callerServer.ts
@@ -47,7 +47,7 @@
 export interface CallerServerOptions extends ServeContext {
   clusterState: ClusterState;
   phase: BehaviorSubject<Phase>;
-  quotas: Pick<Quotas, 'admit' | 'putBack' | 'describe'>;
+  quotas: Pick<Quotas, 'admit' | 'refund' | 'describe'>;
 }
 
 /** The server and its connections, which a planned shutdown observes. */
@@ -163,7 +163,7 @@
     const outcome = await serve(request, req, res, options, span);
     span.setAttribute('outcome', outcome);
     span.end();
-    if (customer && outcome === 'rejected') quotas.putBack(customer);
+    if (customer && outcome === 'rejected') quotas.refund(customer);
     recordOutcome(request, outcome);
   };
 
--- a/packages/gateway/src/targets/__tests__/registry.test.ts
+++ b/packages/gateway/src/targets/__tests__/registry.test.ts
@@ -34,7 +34,7 @@
   const registry = new TargetRegistry({
     clusterState,
     fleet: new FleetMembers(clusterState, now),
-    named: new AdvertisedInstances(clusterState, now),
+    advertised: new AdvertisedInstances(clusterState, now),
     ownRegion: regionName('north'),
     ownDomain: failureDomainName('north-a'),
     self: instanceId('i-1'),
--- a/packages/gateway/src/targets/registry.ts
+++ b/packages/gateway/src/targets/registry.ts
@@ -70,7 +70,7 @@
   regionByDomain: Readonly<Record<string, string>>;
   fleet: FleetMembers;
   /** The instances to which callers are directed, which share the targets' limits. */
-  named: Pick<AdvertisedInstances, 'holders'>;
+  advertised: Pick<AdvertisedInstances, 'sharers'>;
   coldOverage: number;
   coldSlack: number;
   now: () => number;
@@ -110,7 +110,7 @@
       (id, fleet, allowance) => coldShare(id, options.self, fleet, allowance),
     );
     this.limitShares = new ShareCache(
-      () => options.named.holders(),
+      () => options.advertised.sharers(),
       (id, sharers, perSecond) => limitShare(id, options.self, sharers, perSecond),
     );
     options.clusterState.changes.subscribe((change) => this.applyChange(change));
--- a/packages/load/src/simulation/simulatedFleet.ts
+++ b/packages/load/src/simulation/simulatedFleet.ts
@@ -78,7 +78,7 @@
     lost.forEach(({ key, moment, report }) =>
       this.events.after(this.between(REFILING_MS), () => {
         const isKnown = this.instances.some(
-          ({ isolated, quarantine }) => !isolated && quarantine.knows(key),
+          ({ isolated, quarantine }) => !isolated && quarantine.has(key),
         );
         if (isKnown) this.store(key, { ...report, place: report.place ?? moment });
       }),
@@ -95,20 +95,20 @@
       answered: [...previous.answered, ...report.answered],
     };
     Object.assign(instance, { openReport: { key, report: merged } });
-    instance.quarantine.file(key, this.momentAt(UNSTORED_REVISION_BASE + this.lastId), merged);
+    instance.quarantine.add(key, this.momentAt(UNSTORED_REVISION_BASE + this.lastId), merged);
   }
 
   private startInstance(): CrashSimulationInstance {
     const now = () => this.events.now;
     const quarantine = new Quarantine(now);
-    this.storedReports.forEach(({ key, moment, report }) => quarantine.file(key, moment, report));
+    this.storedReports.forEach(({ key, moment, report }) => quarantine.add(key, moment, report));
     const recentAnswers = new RecentAnswers(now);
     return { quarantine, recentAnswers, isolated: false, waiting: [], openReport: undefined };
   }
 
   private catchUp(instance: CrashSimulationInstance): void {
     this.storedReports.forEach(({ key, moment, report }) =>
-      instance.quarantine.file(key, moment, report),
+      instance.quarantine.add(key, moment, report),
     );
     instance.waiting.splice(0).forEach(([key, report]) => this.store(key, report));
   }
@@ -140,7 +140,7 @@
     this.storedReports.push({ key, moment, report, at: this.events.now });
     this.instances.forEach((instance) =>
       this.events.after(this.between(PROPAGATION_MS), () => {
-        if (!instance.isolated) instance.quarantine.file(key, moment, report);
+        if (!instance.isolated) instance.quarantine.add(key, moment, report);
       }),
     );
   }
--- a/packages/steering/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/steering/src/quarantine/__tests__/quarantine.test.ts
@@ -25,13 +25,13 @@
 describe('the quarantine', () => {
   it('combines the reports of several instances, counting each crash once', () => {
     const quarantine = new Quarantine(() => 0);
-    quarantine.file('north', at(10), report([1, 2]));
+    quarantine.add('north', at(10), report([1, 2]));
     // The same crash, reported by another instance with other requests in flight.
-    quarantine.file('south', at(11), report([2], [asked('other')]));
-    quarantine.file('south-too', at(12), report([2]));
+    quarantine.add('south', at(11), report([2], [asked('other')]));
+    quarantine.add('south-too', at(12), report([2]));
     expect(quarantine.holds(CRASHING)).toBe(false);
     expect(quarantine.crashCount(CRASHING)).toBe(2);
-    quarantine.file('east', at(13), report([3]));
+    quarantine.add('east', at(13), report([3]));
     expect(quarantine.holds(CRASHING)).toBe(true);
     expect(quarantine.holds(asked('other'))).toBe(false);
     // Nothing indicates yet that it does harm for another caller.
@@ -46,7 +46,7 @@
     ];
     [reports, [...reports].reverse()].forEach((order) => {
       const quarantine = new Quarantine(() => 0);
-      order.forEach((each) => quarantine.file(...each));
+      order.forEach((each) => quarantine.add(...each));
       expect(quarantine.holds(CRASHING)).toBe(false);
       expect(quarantine.crashCount(CRASHING)).toBe(1);
     });
@@ -55,8 +55,8 @@
   // Guards against an answer from before the store was restored counting as later than crashes after it.
   it('orders reports of a later epoch after earlier ones, whatever their revisions', () => {
     const quarantine = new Quarantine(() => 0);
-    quarantine.file('south', at(50), { crashes: [], answered: [CRASHING] });
-    quarantine.file('north', at(20, 1), report([1, 2, 3]));
+    quarantine.add('south', at(50), { crashes: [], answered: [CRASHING] });
+    quarantine.add('north', at(20, 1), report([1, 2, 3]));
     expect(quarantine.holds(CRASHING)).toBe(true);
   });
 
@@ -64,8 +64,8 @@
   it('keeps the order of reports that were filed again', () => {
     const quarantine = new Quarantine(() => 0);
     const again = { crashes: [], answered: [CRASHING], place: at(50) };
-    quarantine.file('south', at(20, 1), again);
-    quarantine.file('north', at(21, 1), { ...report([1, 2, 3]), place: at(40) });
+    quarantine.add('south', at(20, 1), again);
+    quarantine.add('north', at(21, 1), { ...report([1, 2, 3]), place: at(40) });
     expect(quarantine.holds(CRASHING)).toBe(false);
   });
 
@@ -76,7 +76,7 @@
     const quarantine = new Quarantine(() => 0);
     const popular = requestDigest('popular');
     ['c', 'd', 'e'].forEach((caller, i) =>
-      quarantine.file(`north-${i}`, at(10 + i), {
+      quarantine.add(`north-${i}`, at(10 + i), {
         ...report([i], [asked('popular', caller)]),
         answered: [{ request: popular }],
       }),
@@ -86,7 +86,7 @@
 
   it('blocks a request that crashes targets for one caller while it is answered for others', () => {
     const quarantine = new Quarantine(() => 0);
-    quarantine.file('north', at(10), {
+    quarantine.add('north', at(10), {
       ...report([1, 2, 3]),
       answered: [{ request: CRASHING.request }],
     });
@@ -97,13 +97,13 @@
   it('forgets a removed report, and is empty once all are removed', () => {
     let now = 0;
     const quarantine = new Quarantine(() => now);
-    quarantine.file('north', at(10), report([1, 2, 3]));
+    quarantine.add('north', at(10), report([1, 2, 3]));
     now = 500;
-    quarantine.file('north', at(12), report([1, 2, 3]));
+    quarantine.add('north', at(12), report([1, 2, 3]));
     now = 1000;
     expect(quarantine.olderThan(1001)).toEqual([]);
     expect(quarantine.olderThan(1000)).toEqual(['north']);
-    quarantine.drop('north');
+    quarantine.remove('north');
     expect(quarantine.isEmpty).toBe(true);
   });
 });
--- a/packages/steering/src/quarantine/quarantine.ts
+++ b/packages/steering/src/quarantine/quarantine.ts
@@ -110,14 +110,14 @@
   }
 
   /** Stores a report, or a later version of it. */
-  file(key: string, moment: StorePosition, report: CrashReport): void {
+  add(key: string, moment: StorePosition, report: CrashReport): void {
     const receivedAt = this.reports.get(key)?.receivedAt ?? this.now();
     this.reports.set(key, { place: report.place ?? moment, report, receivedAt });
     this.changed = true;
   }
 
   /** Returns true if a report is stored under `key`. */
-  knows(key: string): boolean {
+  has(key: string): boolean {
     return this.reports.has(key);
   }
 
@@ -127,7 +127,7 @@
   }
 
   /** Removes a report. */
-  drop(key: string): void {
+  remove(key: string): void {
     if (this.reports.delete(key)) this.changed = true;
   }
 
