--- a/packages/gateway/src/requests/requestExecution.ts
+++ b/packages/gateway/src/requests/requestExecution.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Span } from '@opentelemetry/api';
 import type { CrashReports } from '@cardamomladder/fleet';
-import type { RecentAnswers, Quarantine, RepeatBudget } from '@cardamomladder/steering';
+import type { RecentAnswers, Quarantine, RetryBudget } from '@cardamomladder/steering';
 import type { GatewayMetrics } from '@cardamomladder/telemetry';
 import type {
   IssuedRequest,
@@ -29,7 +29,7 @@
   quarantine: Quarantine;
   recentAnswers: RecentAnswers;
   crashReports: Pick<CrashReports, 'answered'>;
-  retryBudgetOf: (service: ServiceName) => RepeatBudget;
+  retryBudgetOf: (service: ServiceName) => RetryBudget;
   /** Number of instances that share the retry budget. */
   fleetSize: () => number;
   /** True when customers authenticate with API keys, which must not be forwarded to targets. */
--- a/packages/gateway/src/requests/targetStatements.ts
+++ b/packages/gateway/src/requests/targetStatements.ts
@@ -42,7 +42,7 @@
   const { id, selfReport } = target;
   const until = now() + Math.min(restMs, MAX_PAUSE_MS);
   // A later request for a shorter pause does not shorten the current one.
-  selfReport.restUntil = Math.max(selfReport.restUntil, until);
+  selfReport.pausedUntil = Math.max(selfReport.pausedUntil, until);
   const sentLately = selfReport.limit.sentLately(now());
   log.write('target-rest', undefined, { target: id, restMs, sentLately });
 };
--- a/packages/gateway/src/targets/__tests__/registry.test.ts
+++ b/packages/gateway/src/targets/__tests__/registry.test.ts
@@ -133,10 +133,10 @@
     expect(registry.get(ID)).toBeUndefined();
     put(entryOf({ startedAt: 100, writes: 6 }));
     expect(registry.get(ID)!.placed.selfReport.limit.perSecond).toBe(4);
-    registry.get(ID)!.placed.selfReport.restUntil = 4000;
+    registry.get(ID)!.placed.selfReport.pausedUntil = 4000;
     remove();
     put(entryOf({ startedAt: 100, writes: 7 }));
-    expect(registry.get(ID)!.placed.selfReport.restUntil).toBe(4000);
+    expect(registry.get(ID)!.placed.selfReport.pausedUntil).toBe(4000);
     remove();
     put(entryOf({ startedAt: 200, writes: 1 }));
     expect(registry.get(ID)!.placed.selfReport.limit.perSecond).toBeUndefined();
--- a/packages/load/src/simulation/loadSimulation.ts
+++ b/packages/load/src/simulation/loadSimulation.ts
@@ -89,7 +89,7 @@
 ): void => {
   selfReport.limit.observe(heard, now);
   if (heard.ran || pauseMs === undefined) return;
-  Object.assign(selfReport, { restUntil: Math.max(selfReport.restUntil, now + pauseMs) });
+  Object.assign(selfReport, { pausedUntil: Math.max(selfReport.pausedUntil, now + pauseMs) });
 };
 
 /** Returns a function that samples object indices with the configured skew. */
--- a/packages/steering/src/placing/__tests__/shares.test.ts
+++ b/packages/steering/src/placement/__tests__/shares.test.ts
@@ -7,7 +7,7 @@
 import { LoadEstimate, REPORT_FRESH_MS } from '../loadEstimate';
 import { MIN_REPORT_STALE_MS } from '../reportStaleness';
 import { coldShare } from '../coldShare';
-import { RepeatBudget } from '../repeatBudget';
+import { RetryBudget } from '../retryBudget';
 import { SlidingWindowCounter } from '../slidingWindowCounter';
 
 const names = (n: number) => Array.from({ length: n }, (_, i) => `instance-${i}`);
@@ -27,14 +27,14 @@
   });
 });
 
-describe('repeat budgets', () => {
+describe('retry budgets', () => {
   it('keep the fleet within the ratio and the extra repeats in every window', () => {
     fc.assert(
       fc.property(
         fc.array(fc.tuple(fc.integer({ min: 0, max: 8 }), fc.boolean()), { maxLength: 400 }),
         (events) => {
           const bound = { ratio: 0.2, extra: 58, windowMs: 10_000 };
-          const budgets = names(9).map(() => new RepeatBudget(bound));
+          const budgets = names(9).map(() => new RetryBudget(bound));
           let requests = 0;
           let repeats = 0;
           events.forEach(([at, wantsRepeat], i) => {
--- a/packages/steering/src/placing/pool.ts
+++ b/packages/steering/src/placement/pool.ts
@@ -61,8 +61,8 @@
  * milliseconds; 0 if it may be sent now.
  */
 export const pauseMs = (target: TargetState, pool: ServicePool, now: number): number => {
-  const { limit, restUntil } = target.selfReport;
-  const restMs = Math.max(0, restUntil - now);
+  const { limit, pausedUntil } = target.selfReport;
+  const restMs = Math.max(0, pausedUntil - now);
   if (limit.perSecond === undefined) return restMs;
   return Math.max(restMs, limit.waitMs(pool.limitShare(target, limit.perSecond), now));
 };
--- a/packages/steering/src/placing/repeatBudget.ts
+++ b/packages/steering/src/placement/retryBudget.ts
@@ -23,8 +23,8 @@
   windowMs: number;
 }
 
-/** The repeat budget of one service at this instance. */
-export class RepeatBudget {
+/** The retry budget of one service at this instance. */
+export class RetryBudget {
   private readonly requests: SlidingWindowCounter;
 
   private readonly repeats: SlidingWindowCounter;
--- a/packages/steering/src/placing/target.ts
+++ b/packages/steering/src/placement/target.ts
@@ -29,7 +29,7 @@
   /** The target is leaving and gets no new work, whatever its registry entry says. */
   leaving: boolean;
   /** The target accepts no requests from this instance until then, in milliseconds. */
-  restUntil: number;
+  pausedUntil: number;
   /** The limit that the target advertises, if any. */
   limit: AdvertisedLimit;
 }
@@ -104,7 +104,7 @@
   unanswered: new UnansweredSends(),
   cachedObjects: new CachedObjects(),
   coldSends: new SlidingWindowCounter(COLD_WINDOW_MS),
-  selfReport: { leaving: false, restUntil: 0, limit: new AdvertisedLimit() },
+  selfReport: { leaving: false, pausedUntil: 0, limit: new AdvertisedLimit() },
 });
 
 /** Returns true if the target's estimated requests per slot are below `perSlot`. */
