--- a/packages/gateway/src/requests/__tests__/retryPolicy.test.ts
+++ b/packages/gateway/src/requests/__tests__/retryPolicy.test.ts
@@ -33,7 +33,7 @@
   });
 
   it('wait for the longest recent response time, so that loading an object is not abandoned', () => {
-    // Failure: lookups of uncached objects took over a second under low load. The
+    // Failure: lookups of uncached objects took over a second without any faults. The
     // target needed 480 ms to load the object, but the send was abandoned after
     // 350 ms for another target without it: the timeout was derived from the mean
     // response time for cached objects.
@@ -47,7 +47,7 @@
   });
 
   it('are not made if they could not finish before the deadline', () => {
-    // Failure: under low load one recipe request in fifteen got no response, each
+    // Failure: without any faults one recipe request in fifteen got no response, each
     // the first for its object. The target needed 2.2 s for an uncached object;
     // after 2.25 of 3 s the send was abandoned, which left 0.75 s to the next
     // target, where the object was uncached too. Retries were made even if they
@@ -60,7 +60,7 @@
   });
 
   it('wait longer while few response times are known', () => {
-    // Failure: under low load one download in twelve was sent to two targets, and
+    // Failure: without any faults one download in twelve was sent to two targets, and
     // both loaded the object. In a large fleet an instance had only three response
     // times in its window; the next one exceeded their maximum, which was used as
     // if it were the overall maximum.
--- a/packages/gateway/src/server/__tests__/directory.test.ts
+++ b/packages/gateway/src/server/__tests__/directory.test.ts
@@ -24,7 +24,7 @@
 
 describe('instances advertised to callers', () => {
   it('are the strong ones of a failure domain with many weak ones', () => {
-    // Guards against slow downloads under low load: when all instances were
+    // Guards against slow downloads without any faults: when all instances were
     // advertised alike, callers chose one at random, and six of seven were
     // machines with a 10 Mbit/s link.
     const group = [...several(2, 1.35, 200, 'strong'), ...several(12, 0.27, 10, 'weak')];
