--- a/packages/cli/src/__tests__/atMostOnce.test.ts
+++ b/packages/cli/src/__tests__/atMostOnce.test.ts
@@ -8,10 +8,10 @@
 
 const cluster = useCluster({ memberLagMs: 200 });
 const executions = (key: string) =>
-  (cluster().upstreams.get('book') ?? []).flatMap((u) => u.executions).filter((e) => e.key === key)
+  (cluster().targets.get('book') ?? []).flatMap((t) => t.executions).filter((e) => e.key === key)
     .length;
 const setFaults = (faults: Record<string, boolean>) =>
-  (cluster().upstreams.get('book') ?? []).forEach((u) => Object.assign(u.faults, faults));
+  (cluster().targets.get('book') ?? []).forEach((t) => Object.assign(t.faults, faults));
 
 describe('at most once', () => {
   it('answers "unknown" and never retries when the reply to a booking is lost', async () => {
@@ -47,8 +47,8 @@
     // Guards against answering "not-run" for any failure, after which a caller
     // resends an arrival that was in fact recorded. Here every target is
     // draining and rejects the request.
-    const upstreams = cluster().upstreams.get('book') ?? [];
-    const drains = upstreams.map((u) => u.drain());
+    const targets = cluster().targets.get('book') ?? [];
+    const drains = targets.map((t) => t.drain());
     await Promise.all(drains);
     const reply = await sendRequest(cluster().entries[1].address, '/s/book/visit', {
       method: 'POST',
--- a/packages/cli/src/__tests__/drain.test.ts
+++ b/packages/cli/src/__tests__/drain.test.ts
@@ -13,7 +13,7 @@
     // Guards against entries that rely on the member list alone and keep sending
     // requests to a draining target: the list publishes the state a second later
     // and entries poll it every 500 ms.
-    const [leaving] = cluster().upstreams.get('lookup') ?? [];
+    const [leaving] = cluster().targets.get('lookup') ?? [];
     const caller = new Caller(
       cluster().entries.map((e) => ({
         id: 'e',
@@ -45,8 +45,8 @@
     const entry = cluster().entries[0].address;
     const downloads = [sendRequest(entry, '/s/bundle/plan'), sendRequest(entry, '/s/bundle/plan')];
     await sleep(300);
-    const upstreams = cluster().upstreams.get('bundle') ?? [];
-    const busiest = upstreams.reduce((a, b) => (b.inflight() > a.inflight() ? b : a));
+    const targets = cluster().targets.get('bundle') ?? [];
+    const busiest = targets.reduce((a, b) => (b.inflight() > a.inflight() ? b : a));
     expect(busiest.inflight()).toBeGreaterThan(0);
     const drainMs = await busiest.drain();
     const responses = await Promise.all(downloads);
@@ -61,8 +61,8 @@
     // Guards against closing the listener's connections immediately: a download
     // runs through entry 1, and is interrupted when entry 1 is stopped.
     const entry = cluster().entries[1];
-    const upstreams = cluster().upstreams.get('bundle') ?? [];
-    if (upstreams.every((u) => u.inflight() === 0)) await sleep(10);
+    const targets = cluster().targets.get('bundle') ?? [];
+    if (targets.every((t) => t.inflight() === 0)) await sleep(10);
     const download = sendRequest(entry.address, '/s/bundle/plan');
     await sleep(200);
     const stopping = entry.stop();
--- a/packages/cli/src/__tests__/unresponsiveTargets.test.ts
+++ b/packages/cli/src/__tests__/unresponsiveTargets.test.ts
@@ -13,7 +13,7 @@
     // Guards against an attempt that may take the whole deadline and leaves no
     // time to retry: one target accepts requests and never responds, and the
     // lookup hangs until its deadline.
-    const [silent] = cluster().upstreams.get('lookup') ?? [];
+    const [silent] = cluster().targets.get('lookup') ?? [];
     silent.faults.silent = true;
     const started = performance.now();
     // Each region has one target with four slots, and the region is chosen at
@@ -33,7 +33,7 @@
   it('stops choosing an unresponsive target once an attempt to it timed out', async () => {
     // Guards against discarding the timeout of an attempt: later lookups keep
     // choosing the unresponsive target, and every other lookup takes a second.
-    const [silent] = cluster().upstreams.get('lookup') ?? [];
+    const [silent] = cluster().targets.get('lookup') ?? [];
     silent.faults.silent = true;
     await Promise.all(
       Array.from({ length: 4 }, () => sendRequest(cluster().entries[0].address, '/s/lookup/x')),
@@ -46,14 +46,14 @@
   });
 
   it('answers a booking "unknown" and does not send it again when its target stops responding', async () => {
-    const upstreams = cluster().upstreams.get('book') ?? [];
-    upstreams.forEach((u) => Object.assign(u.faults, { silent: true }));
+    const targets = cluster().targets.get('book') ?? [];
+    targets.forEach((t) => Object.assign(t.faults, { silent: true }));
     const reply = await sendRequest(cluster().entries[1].address, '/s/book/x', {
       method: 'POST',
       body: '{}',
       headers: { 'idempotency-key': 'arrival-7' },
     });
-    upstreams.forEach((u) => Object.assign(u.faults, { silent: false }));
+    targets.forEach((t) => Object.assign(t.faults, { silent: false }));
     expect([reply.status, reply.outcome]).toEqual([504, 'unknown']);
   });
 });
--- a/packages/cli/src/commandLine.ts
+++ b/packages/cli/src/commandLine.ts
@@ -61,7 +61,7 @@
   cli
     .command(
       'standin <kind>',
-      'Run a stand-in: platform (KV and member list) or target (upstreams)',
+      'Run a stand-in: platform (KV and member list) or target (targets of a service)',
     )
     .option('--host <host>', 'Listen address', { default: '127.0.0.1' })
     .option('--port <port>', 'Platform port (0: any)', { default: 7400 })
@@ -72,8 +72,8 @@
     .option('--service <name>', 'Service of the targets', { default: 'stada' })
     .option('--region <name>', 'Region of the targets', { default: 'reykjavik' })
     .option('--failure-domain <name>', 'Failure domain of the targets', { default: 'rvk-a' })
-    .option('--count <n>', 'Upstreams to run', { default: 1 })
-    .option('--slots <n>', 'Slots per upstream', { default: 9 })
+    .option('--count <n>', 'Targets to run', { default: 1 })
+    .option('--slots <n>', 'Slots per target', { default: 9 })
     .option('--service-ms <ms>', 'Processing time per request', { default: 4 })
     .option('--answer-bytes <n>', 'Response size', { default: 600 })
     .action((kind: string, o: Record<string, string | number>) => {
--- a/packages/cli/src/commands/standin.ts
+++ b/packages/cli/src/commands/standin.ts
@@ -48,9 +48,9 @@
 export const targetCommand = async (options: TargetCommandOptions): Promise<number> => {
   enableLogs(process.env.DEBUG ?? 'cardamomladder:*,-cardamomladder:trace');
   const members = createMemberClient(options.platform);
-  const upstreams: TargetStandin[] = [];
+  const targets: TargetStandin[] = [];
   for (let i = 0; i < options.count; i += 1) {
-    upstreams.push(
+    targets.push(
       await startTargetStandin({
         id: `${options.service}-${options.failureDomain}-${i}`,
         service: options.service,
@@ -64,11 +64,9 @@
       }),
     );
   }
-  console.log(
-    JSON.stringify({ targets: upstreams.map((u) => ({ id: u.id, address: u.address })) }),
-  );
+  console.log(JSON.stringify({ targets: targets.map((t) => ({ id: t.id, address: t.address })) }));
   await waitForTerminationSignal();
-  const drainTimes = await Promise.all(upstreams.map((u) => u.stop()));
+  const drainTimes = await Promise.all(targets.map((t) => t.stop()));
   console.log(JSON.stringify({ drainMs: drainTimes }));
   return 0;
 };
--- a/packages/cli/src/demo/cluster.ts
+++ b/packages/cli/src/demo/cluster.ts
@@ -23,7 +23,7 @@
   platform: PlatformStandin;
   members: MemberListStandin;
   kv: KvClient;
-  upstreams: Map<string, TargetStandin[]>;
+  targets: Map<string, TargetStandin[]>;
   entries: Entry[];
   document: Document;
   stop: () => Promise<void>;
@@ -53,7 +53,7 @@
   const platform = await startPlatformStandin({ handlers: [members.handle] });
   const kv = createKvClient({ url: platform.url });
   const memberClient = createMemberClient(platform.url);
-  const upstreams = new Map<string, TargetStandin[]>();
+  const targets = new Map<string, TargetStandin[]>();
   for (const service of layout.services) {
     const started = await Promise.all(
       Array.from({ length: service.targets }, (_, i) => {
@@ -71,7 +71,7 @@
         });
       }),
     );
-    upstreams.set(service.name, started);
+    targets.set(service.name, started);
   }
   const applied = await applyDocument(kv, documentForLayout(layout, 0));
   const { revision } = unwrap(applied);
@@ -109,7 +109,7 @@
   }
   const stop = async () => {
     await Promise.all(entries.map((e) => e.stop()));
-    await Promise.all([...upstreams.values()].flat().map((u) => u.stop()));
+    await Promise.all([...targets.values()].flat().map((t) => t.stop()));
     members.stop();
     await platform.stop();
   };
@@ -117,7 +117,7 @@
     platform,
     members,
     kv,
-    upstreams,
+    targets,
     entries,
     document: documents.find((d) => d.revision === revision) ?? documents[0],
     stop,
--- a/packages/cli/src/demo/runDemo.ts
+++ b/packages/cli/src/demo/runDemo.ts
@@ -54,9 +54,9 @@
       setTimeout(resolve, durationMs / 2);
     });
     const drains = await Promise.all(
-      [...cluster.upstreams.entries()].map(async ([, upstreams]) => ({
-        target: upstreams[0].id,
-        drainMs: await upstreams[0].drain(),
+      [...cluster.targets.entries()].map(async ([, targets]) => ({
+        target: targets[0].id,
+        drainMs: await targets[0].drain(),
       })),
     );
     const results = await Promise.all(loads);
