--- a/packages/gateway/src/lifecycle/__tests__/advertisedInstances.test.ts
+++ b/packages/gateway/src/lifecycle/__tests__/advertisedInstances.test.ts
@@ -15,20 +15,24 @@
 });
 
 const fleet = () => {
-  const beliefs = new ClusterState();
+  const clusterState = new ClusterState();
   const clock = { now: 0 };
-  const advertised = new AdvertisedInstances(beliefs, () => clock.now);
+  const advertised = new AdvertisedInstances(clusterState, () => clock.now);
   const key = (id: string) => `instances/${id}`;
   let revision = 0;
   const join = (instance: InstanceEntry) => {
     revision += 1;
-    beliefs.applyChange({ key: key(instance.id), revision, fact: { kind: 'instance', instance } });
+    clusterState.applyChange({
+      key: key(instance.id),
+      revision,
+      fact: { kind: 'instance', instance },
+    });
   };
   const leave = (id: string) => {
     revision += 1;
-    beliefs.applyChange({ key: key(id), revision, removed: true });
+    clusterState.applyChange({ key: key(id), revision, removed: true });
   };
-  const ids = () => [...advertised.holders().ids].sort();
+  const ids = () => [...advertised.sharers().ids].sort();
   return { clock, advertised, join, leave, ids };
 };
 
@@ -48,8 +52,8 @@
   it('are assumed to be more after startup, when not all entries may be known', () => {
     const { clock, advertised, join } = fleet();
     join(machine('s-1', 1));
-    expect(advertised.holders().size).toBe(10);
+    expect(advertised.sharers().size).toBe(10);
     clock.now = 4000;
-    expect(advertised.holders().size).toBe(1);
+    expect(advertised.sharers().size).toBe(1);
   });
 });
--- a/packages/gateway/src/lifecycle/advertisedInstances.ts
+++ b/packages/gateway/src/lifecycle/advertisedInstances.ts
@@ -38,18 +38,18 @@
   private readonly startedAt: number;
 
   constructor(
-    private readonly beliefs: ClusterState,
+    private readonly clusterState: ClusterState,
     private readonly now: () => number,
   ) {
     this.startedAt = now();
     this.recentlyRemoved = new RecentlyRemovedInstances(now);
-    beliefs.changes.subscribe(({ kind }) => {
+    clusterState.changes.subscribe(({ kind }) => {
       if (kind === 'instance' || kind === 'instance-gone') this.stale = true;
     });
   }
 
   /** The instances among which limits are divided; returns the same object until they change. */
-  holders(): SharingInstances {
+  sharers(): SharingInstances {
     if (this.stale) this.refresh();
     if (this.recentlyRemoved.prune()) this.cachedSharers = undefined;
     this.cachedSharers ??= this.computeSharers();
@@ -65,7 +65,7 @@
   private refresh(): void {
     this.stale = false;
     const advertised = new Set(
-      selectAdvertised([...this.beliefs.instances.values()]).map(({ id }) => id),
+      selectAdvertised([...this.clusterState.instances.values()]).map(({ id }) => id),
     );
     this.advertised.forEach((id) => {
       if (!advertised.has(id)) this.recentlyRemoved.add(id);
--- a/packages/gateway/src/peers/__tests__/reportSpread.test.ts
+++ b/packages/gateway/src/peers/__tests__/reportSpread.test.ts
@@ -71,8 +71,8 @@
   const theirs = peer.reports.after(asker.receivedMarks.get(name));
   if (own.reports.length === 0 && theirs.reports.length === 0) return;
   const request = reportsRequest.parse(JSON.parse(JSON.stringify({ reports: own.reports })));
-  peer.reports.hear(request.reports, false);
-  asker.reports.hear(theirs.reports, false);
+  peer.reports.receive(request.reports, false);
+  asker.reports.receive(theirs.reports, false);
   asker.sentMarks.set(name, own.mark);
   asker.receivedMarks.set(name, theirs.mark);
   Object.assign(asker, { asked: asker.asked + 1 });
@@ -105,8 +105,8 @@
     // store is unreachable: it arrived at one instance after another, and the
     // reports of each were held back until the store returned.
     const members = Array.from({ length: size }, (_, number) => memberOf(number));
-    const witnesses = [0, 1, 2].map((nth) => members[Math.floor((nth * size) / 3)]);
-    witnesses.forEach(({ reports }, nth) =>
+    const observers = [0, 1, 2].map((nth) => members[Math.floor((nth * size) / 3)]);
+    observers.forEach(({ reports }, nth) =>
       reports.addCrash({ run: targetRun(targetId(`t-${nth}`), nth), requests: [CRASHING] }),
     );
     await vi.advanceTimersByTimeAsync(ROUND_MS);
--- a/packages/gateway/src/requests/requestExecution.ts
+++ b/packages/gateway/src/requests/requestExecution.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Span } from '@opentelemetry/api';
 import type { CrashReports } from '@cardamomladder/fleet';
-import type { RecentAnswers, Quarantine, RepeatBudget } from '@cardamomladder/steering';
+import type { RecentAnswers, Quarantine, RetryBudget } from '@cardamomladder/steering';
 import type { GatewayMetrics } from '@cardamomladder/telemetry';
 import type {
   IssuedRequest,
@@ -27,9 +27,9 @@
   registry: TargetRegistry;
   crashes: CrashDetector;
   quarantine: Quarantine;
-  answeredLately: RecentAnswers;
+  recentAnswers: RecentAnswers;
   crashReports: Pick<CrashReports, 'answered'>;
-  retryBudgetOf: (service: ServiceName) => RepeatBudget;
+  retryBudgetOf: (service: ServiceName) => RetryBudget;
   /** Number of instances that share the retry budget. */
   fleetSize: () => number;
   /** True when customers authenticate with API keys, which must not be forwarded to targets. */
