--- a/packages/customers/src/quota/__fixtures__/quotaSimulation.ts
+++ b/packages/customers/src/quota/__fixtures__/quotaSimulation.ts
@@ -24,7 +24,7 @@
 const MS_PER_SECOND = 1000;
 
 /** The fleet as a sharing strategy sees it. */
-export interface SimulatedFleet {
+export interface QuotaFleet {
   ids: readonly InstanceId[];
   limit: RateLimit;
   now: () => number;
@@ -82,7 +82,7 @@
 /** Runs a scenario with the sharing strategy that `build` creates. */
 export const simulateQuota = (
   scenario: QuotaScenario,
-  build: (fleet: SimulatedFleet) => SharingStrategy,
+  build: (fleet: QuotaFleet) => SharingStrategy,
 ): QuotaSimulationResult => {
   const { instances, limit, random, isPartitioned = () => false, isDown = () => false } = scenario;
   const ids = Array.from({ length: instances }, (_, i) => instanceId(`instance-${i}`));
@@ -91,7 +91,7 @@
   let now = 0;
   let messages = 0;
   let inTransit: { at: number; to: InstanceId; deliver: () => void }[] = [];
-  const fleet: SimulatedFleet = {
+  const fleet: QuotaFleet = {
     ids,
     limit,
     now: () => now,
--- a/packages/customers/src/quota/__fixtures__/sharingStrategies.ts
+++ b/packages/customers/src/quota/__fixtures__/sharingStrategies.ts
@@ -5,7 +5,7 @@
 import { lenderOf } from '../lenderSelection';
 import { Lender } from '../lender';
 import { TokenBucket } from '../tokenBucket';
-import type { SimulatedFleet, SharingStrategy } from './quotaSimulation';
+import type { QuotaFleet, SharingStrategy } from './quotaSimulation';
 import { SIMULATED_CUSTOMER, TOLERANCE } from './quotaSimulation';
 
 /** Interval between rounds of messages, ms. */
@@ -13,14 +13,14 @@
 
 /** Runs `round` periodically for each instance that is up, staggered by instance. */
 const inRounds =
-  ({ ids, now, isUp }: SimulatedFleet, round: (id: InstanceId) => void) =>
+  ({ ids, now, isUp }: QuotaFleet, round: (id: InstanceId) => void) =>
   () =>
     ids.forEach((id, i) => {
       if (isUp(id) && (now() + i * 10) % ROUND_INTERVAL_MS === 0) round(id);
     });
 
 /** Each instance has an equal share of the limit and its tolerance. */
-export const equalShares = ({ ids, limit, now }: SimulatedFleet): SharingStrategy => {
+export const equalShares = ({ ids, limit, now }: QuotaFleet): SharingStrategy => {
   const seconds = TOLERANCE.windowMs / 1000;
   const tolerated = TOLERANCE.overage * (limit.perSecond * seconds + limit.burst) + TOLERANCE.slack;
   const share = {
@@ -36,7 +36,7 @@
 };
 
 /** Instances broadcast their counts and admit until the sum reaches the limit; near it, each uses only its equal share. */
-export const broadcastCounts = (fleet: SimulatedFleet): SharingStrategy => {
+export const broadcastCounts = (fleet: QuotaFleet): SharingStrategy => {
   const { ids, limit, now, send } = fleet;
   const nearLimit = limit.burst / 4;
   const newState = () => ({
@@ -74,7 +74,7 @@
 const MAX_LENDERS = 3;
 
 /** Guaranteed shares plus tokens from a lender; requests wait for tokens or are rejected immediately. */
-const lending = (fleet: SimulatedFleet, waitsForTokens: boolean): SharingStrategy => {
+const lending = (fleet: QuotaFleet, waitsForTokens: boolean): SharingStrategy => {
   const { ids, limit, now, send, sees, isUp } = fleet;
   const customer: Customer = { name: SIMULATED_CUSTOMER, keys: [], homeRegions: [], limit };
   const sharers = { ids, size: ids.length };
@@ -155,8 +155,8 @@
 };
 
 /** The strategy in use: guaranteed shares plus lent tokens that requests wait for. */
-export const lentTokens = (fleet: SimulatedFleet): SharingStrategy => lending(fleet, true);
+export const lentTokens = (fleet: QuotaFleet): SharingStrategy => lending(fleet, true);
 
 /** The previous strategy: a request that finds no token is rejected immediately. */
-export const lentTokensWithoutWaiting = (fleet: SimulatedFleet): SharingStrategy =>
+export const lentTokensWithoutWaiting = (fleet: QuotaFleet): SharingStrategy =>
   lending(fleet, false);
--- a/packages/customers/src/quota/guaranteedShare.ts
+++ b/packages/customers/src/quota/guaranteedShare.ts
@@ -1,5 +1,5 @@
 /** One instance's equal share of the guaranteed part of a limit, which is used without a lender. */
-import { fleetRank } from '@cardamomladder/steering';
+import { instanceRank } from '@cardamomladder/steering';
 import type { CustomerName, InstanceId } from '@cardamomladder/types';
 import type { RateLimit } from '../customer';
 
@@ -20,6 +20,6 @@
 ): RateLimit => {
   if (!instances.includes(self)) return NO_SHARE;
   const sharerCount = Math.max(1, Math.min(size, Math.floor(guaranteed.burst)));
-  if (sharerCount < size && fleetRank(customer, self, instances) >= sharerCount) return NO_SHARE;
+  if (sharerCount < size && instanceRank(customer, self, instances) >= sharerCount) return NO_SHARE;
   return { perSecond: guaranteed.perSecond / sharerCount, burst: guaranteed.burst / sharerCount };
 };
--- a/packages/customers/src/quota/localQuotas.ts
+++ b/packages/customers/src/quota/localQuotas.ts
@@ -20,7 +20,7 @@
   now: () => number;
 }
 
-interface Entry {
+interface CustomerQuota {
   customer: Customer;
   quota: LocalQuota;
   /** The instances for which the share was computed. */
@@ -29,7 +29,7 @@
 
 /** Quotas by customer, created at a customer's first request. */
 export class LocalQuotas {
-  private readonly entries = new Map<CustomerName, Entry>();
+  private readonly entries = new Map<CustomerName, CustomerQuota>();
 
   private customers: ReadonlyMap<CustomerName, Customer> = new Map();
 
@@ -72,7 +72,7 @@
     return needs;
   }
 
-  private add(customer: Customer, sharers: SharingInstances): Entry {
+  private add(customer: Customer, sharers: SharingInstances): CustomerQuota {
     const since = this.limitedSince?.get(customer.name) ?? this.options.now();
     const quota = new LocalQuota(this.shareOf(customer, sharers), since);
     const entry = { customer, quota, sharers };
@@ -80,7 +80,7 @@
     return entry;
   }
 
-  private share({ customer, quota, sharers }: Entry): void {
+  private share({ customer, quota, sharers }: CustomerQuota): void {
     quota.resize(this.shareOf(customer, sharers), this.options.now());
   }
 
--- a/packages/fleet/src/crashReports.ts
+++ b/packages/fleet/src/crashReports.ts
@@ -19,7 +19,7 @@
   StorePosition,
   TargetCrash,
 } from '@cardamomladder/types';
-import { pause } from '@cardamomladder/types';
+import { sleep } from '@cardamomladder/types';
 import type { Store, StoreFailure } from './records';
 import { ReportBuilder } from './reportBuilder';
 import type { ForwardedReport, ForwardedReports, ReportCursor } from './forwardedReports';
@@ -43,7 +43,7 @@
 const UNWRITTEN_BASE_REVISION = 2 ** 52;
 
 /** How long other instances wait for the author of a lost report to write it again, ms; afterwards they write it after random delays. */
-const REFILE_DELAY_MS = 1000;
+const REWRITE_DELAY_MS = 1000;
 
 /** Index of the reports in effect on this instance. */
 export interface CrashReportIndex {
@@ -159,12 +159,12 @@
     const { index, fleetSize, random, log } = this.options;
     const lost = index.all().filter(({ key }) => !isStored(key));
     if (lost.length > 0) log('lost by the store', lost.map(({ key }) => key).join(' '));
-    lost.filter(({ key }) => this.ownKeys.has(key)).forEach((each) => this.refile(each));
+    lost.filter(({ key }) => this.ownKeys.has(key)).forEach((each) => this.rewrite(each));
     const others = lost.filter(({ key }) => !this.ownKeys.has(key));
-    const delayRangeMs = REFILE_DELAY_MS + WRITE_INTERVAL_PER_INSTANCE_MS * fleetSize();
+    const delayRangeMs = REWRITE_DELAY_MS + WRITE_INTERVAL_PER_INSTANCE_MS * fleetSize();
     setTimeout(
-      () => others.filter(({ key }) => !isStored(key)).forEach((each) => this.refile(each)),
-      REFILE_DELAY_MS + delayRangeMs * random(),
+      () => others.filter(({ key }) => !isStored(key)).forEach((each) => this.rewrite(each)),
+      REWRITE_DELAY_MS + delayRangeMs * random(),
     ).unref();
     const reappeared = outdated.filter((key) => this.removed.has(key));
     if (reappeared.length > 0) this.remove(reappeared);
@@ -195,7 +195,7 @@
     index.add(store.reportKey(id), position, report);
   }
 
-  private refile({ key, report, place }: ReturnType<CrashReportIndex['all']>[number]): void {
+  private rewrite({ key, report, place }: ReturnType<CrashReportIndex['all']>[number]): void {
     const id = this.options.store.reportId(key);
     const isPending = this.builder?.id === id || this.waiting.some((each) => each.id === id);
     if (isPending || !this.options.index.has(key)) return;
@@ -218,7 +218,7 @@
 
   /** Writes reports until none is waiting. */
   private async write(): Promise<void> {
-    await pause(BATCH_DELAY_MS);
+    await sleep(BATCH_DELAY_MS);
     let retryMs = RETRY_MIN_DELAY_MS;
     while (!this.stopped && this.flushBuilder()) {
       const written = await this.writeNext();
@@ -226,7 +226,7 @@
         BATCH_DELAY_MS,
         WRITE_INTERVAL_PER_INSTANCE_MS * this.options.fleetSize(),
       );
-      await pause(written ? spacingMs : retryMs * (0.5 + this.options.random()));
+      await sleep(written ? spacingMs : retryMs * (0.5 + this.options.random()));
       retryMs = written ? RETRY_MIN_DELAY_MS : Math.min(RETRY_MAX_DELAY_MS, retryMs * 2);
     }
     this.writing = false;
--- a/packages/fleet/src/follower.ts
+++ b/packages/fleet/src/follower.ts
@@ -24,7 +24,7 @@
 import type { BehaviorSubject } from 'rxjs';
 import { Subject, firstValueFrom, race, timer } from 'rxjs';
 import type { StorePosition } from '@cardamomladder/types';
-import { positionOf, pause } from '@cardamomladder/types';
+import { positionOf, sleep } from '@cardamomladder/types';
 import type { ClusterState } from './clusterState';
 import { ChangeLog } from './changeLog';
 import type { RecordChanges, RecordList, InstanceEntry, Store, StoreFailure } from './records';
@@ -161,7 +161,7 @@
   const stepList = async (): Promise<StoreFailure | undefined> => {
     if (await startFromRelay()) return undefined;
     const asked = clusterState.revision === 0 ? requestSnapshot() : Promise.resolve(undefined);
-    const early = await Promise.race([asked, pause(SNAPSHOT_HEAD_START_MS)]);
+    const early = await Promise.race([asked, sleep(SNAPSHOT_HEAD_START_MS)]);
     if (early) return startFromPeer(early);
     const listed = await store.list();
     if (listed.isErr()) {
@@ -180,7 +180,7 @@
     connectivity.answered();
     connectivity.setRelay(undefined);
     applyChanges(after, watched.value);
-    if (watched.value.changes.length > 0) await pause(BATCH_DELAY_MS);
+    if (watched.value.changes.length > 0) await sleep(BATCH_DELAY_MS);
     return undefined;
   };
   /** A failed relay is not treated as a store failure: the next step tries another relay or the store. */
@@ -198,13 +198,13 @@
     // The latency of the response is unknown, so its `storeHeardMsAgo` is
     // measured back from the time of the request: only a store response that is
     // then still later than the suspected failure confirms that the store is up.
-    const confirmed = connectivity.answeredSinceSuspicion(askedAt, received.value.storeHeardMsAgo);
+    const confirmed = connectivity.respondedSinceSuspicion(askedAt, received.value.storeHeardMsAgo);
     if (confirmed) connectivity.markReachable();
     connectivity.setRelay(relay);
     const { list, changes } = received.value;
     if (list) applyList(list);
     else applyChanges(known.revision, received.value);
-    if (list || changes.length > 0 || !confirmed) await pause(RELAY_BATCH_DELAY_MS);
+    if (list || changes.length > 0 || !confirmed) await sleep(RELAY_BATCH_DELAY_MS);
     return undefined;
   };
   const step = (): Promise<StoreFailure | undefined> => {
@@ -271,7 +271,7 @@
   return {
     status: connectivity.status,
     changeLog,
-    storeHeardMsAgo: () => connectivity.lastAnswerAgeMs,
+    storeHeardMsAgo: () => connectivity.lastResponseAgeMs,
     list: () => updater.list(),
     stop: () => {
       stopped = true;
--- a/packages/fleet/src/stateUpdater.ts
+++ b/packages/fleet/src/stateUpdater.ts
@@ -6,7 +6,7 @@
  * change: known records are kept and take over the revisions of the new epoch.
  */
 import type { ClusterState } from './clusterState';
-import { DoubtedRecords } from './doubtedRecords';
+import { UnconfirmedRecords } from './unconfirmedRecords';
 import type { RecordValue, RecordChange, RecordChanges, RecordList, StoreRecord } from './records';
 import { DeferredRemovals } from './deferredRemovals';
 import type { Freshness } from './recordFreshness';
@@ -23,7 +23,7 @@
 export class StateUpdater {
   private readonly removals: DeferredRemovals;
 
-  private readonly doubted: DoubtedRecords;
+  private readonly doubted: UnconfirmedRecords;
 
   constructor(
     private readonly clusterState: ClusterState,
@@ -32,7 +32,7 @@
     isStoreFollowed: () => boolean,
   ) {
     this.removals = new DeferredRemovals(clusterState, now, isStoreFollowed);
-    this.doubted = new DoubtedRecords(clusterState);
+    this.doubted = new UnconfirmedRecords(clusterState);
   }
 
   /** Defers removals from now on; records still missing when the deferral ends are removed. */
--- a/packages/fleet/src/storeConnectivity.ts
+++ b/packages/fleet/src/storeConnectivity.ts
@@ -79,7 +79,7 @@
   }
 
   /** Time since the store last responded to this instance directly, ms. */
-  get lastAnswerAgeMs(): number {
+  get lastResponseAgeMs(): number {
     return this.lastAnswerAt === undefined
       ? NEVER_ANSWERED_MS
       : this.options.now() - this.lastAnswerAt;
@@ -103,9 +103,9 @@
     this.suspectedSince ??= this.options.now();
   }
 
-  /** Whether the store responded after the suspected failure, given that its last response was `heardMsAgo` before `askedAt`. */
-  answeredSinceSuspicion(askedAt: number, heardMsAgo: number): boolean {
-    return heardMsAgo < askedAt - (this.suspectedSince ?? -Infinity);
+  /** Whether the store responded after the suspected failure, given that its last response was `lastResponseAgeMs` before `askedAt`. */
+  respondedSinceSuspicion(askedAt: number, lastResponseAgeMs: number): boolean {
+    return lastResponseAgeMs < askedAt - (this.suspectedSince ?? -Infinity);
   }
 
   /** Marks the store as unreachable and queries peers until it is reachable again. */
--- a/packages/fleet/src/doubtedRecords.ts
+++ b/packages/fleet/src/unconfirmedRecords.ts
@@ -7,15 +7,15 @@
 import { REGISTRATION_TTL_MS } from './registration';
 
 /** A doubted record is accepted if it still exists after this time, ms: three heartbeats, after which the entry of a silent writer is removed, plus the time to learn of the removal. */
-const DOUBT_PERIOD_MS = 10_000;
+const CONFIRMATION_PERIOD_MS = 10_000;
 /** The same for an instance entry, which is removed when its lease expires. */
-const INSTANCE_DOUBT_PERIOD_MS = REGISTRATION_TTL_MS + 1000;
+const INSTANCE_CONFIRMATION_PERIOD_MS = REGISTRATION_TTL_MS + 1000;
 
 const isLeaving = (fact: RecordValue | undefined): boolean =>
   fact?.kind === 'target' && fact.target.leaving;
 
 /** Keeps doubted records out of the cluster state for a limited time. */
-export class DoubtedRecords {
+export class UnconfirmedRecords {
   private readonly doubted = new Map<string, StoreRecord>();
 
   constructor(private readonly clusterState: ClusterState) {}
@@ -33,7 +33,8 @@
     // A copy distinguishes this entry from an earlier one for the same record.
     const record = { ...listed };
     doubted.set(key, record);
-    const doubtMs = record.fact.kind === 'instance' ? INSTANCE_DOUBT_PERIOD_MS : DOUBT_PERIOD_MS;
+    const doubtMs =
+      record.fact.kind === 'instance' ? INSTANCE_CONFIRMATION_PERIOD_MS : CONFIRMATION_PERIOD_MS;
     setTimeout(() => {
       if (doubted.get(key) !== record) return;
       doubted.delete(key);
--- a/packages/gateway/src/components.ts
+++ b/packages/gateway/src/components.ts
@@ -20,7 +20,7 @@
 import { AdvertisedInstances } from './lifecycle/advertisedInstances';
 import type { Phase } from './lifecycle/phase';
 import { createPhase } from './lifecycle/phase';
-import { askPeers, askSnapshot } from './peers/ask';
+import { createPeerQuery, createSnapshotQuery } from './peers/ask';
 import { reportExchange } from './peers/reportExchange';
 import { RecentPeers, knownInstances } from './peers/recentPeers';
 import { watchPeer } from './peers/watch';
@@ -173,8 +173,8 @@
     store,
     clusterState,
     self,
-    queryPeers: askPeers(askOptions),
-    requestSnapshot: askSnapshot(askOptions, Math.random),
+    queryPeers: createPeerQuery(askOptions),
+    requestSnapshot: createSnapshotQuery(askOptions, Math.random),
     watchPeer: watchPeer({ ownServingEntry, log }),
     now,
     random: Math.random,
--- a/packages/gateway/src/lifecycle/stop.ts
+++ b/packages/gateway/src/lifecycle/stop.ts
@@ -1,7 +1,7 @@
 /** Planned shutdown, from the signal until no requests are in progress. */
 import type { BehaviorSubject } from 'rxjs';
 import type { Registration } from '@cardamomladder/fleet';
-import { pause } from '@cardamomladder/types';
+import { sleep } from '@cardamomladder/types';
 import type { DecisionLog } from '../decisionLog';
 import type { CallerConnections } from '../server/callerConnections';
 import type { Phase } from './phase';
@@ -31,7 +31,7 @@
   while (now() < endAt) {
     if (connections.unanswered > 0) quietSince = now();
     if (now() - quietSince >= QUIET_PERIOD_MS) return 'quiet';
-    await pause(POLL_INTERVAL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
   return 'out-of-time';
 };
@@ -45,7 +45,7 @@
   registration?.deregister().catch((error: Error) => {
     log.write('registration', undefined, { event: 'leaving failed', detail: error.message });
   });
-  await pause(graceMs * REFUSE_AFTER_FRACTION);
+  await sleep(graceMs * REFUSE_AFTER_FRACTION);
   phase.next('refusing');
   const ended = await waitUntilQuiet(options, startedAt + graceMs * END_AFTER_FRACTION);
   log.write('lifecycle', undefined, {
--- a/packages/gateway/src/listeners.ts
+++ b/packages/gateway/src/listeners.ts
@@ -70,7 +70,7 @@
   return new CrashDetector(refusesConnections, (crash) => {
     metrics.targetCrashes.inc();
     log.write('target-crashed', undefined, { ...crash });
-    if (crash.requests.some((suspect) => quarantine.holds(suspect))) return;
+    if (crash.requests.some((suspect) => quarantine.blocks(suspect))) return;
     crashReports.addCrash(crash);
     crash.requests
       .filter(({ request }) => recentAnswers.has(request))
--- a/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
+++ b/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
@@ -17,7 +17,7 @@
 import {
   failureDomainName,
   instanceId,
-  pause,
+  sleep,
   regionName,
   socketAddress,
 } from '@cardamomladder/types';
@@ -25,7 +25,7 @@
 import type { PeerRouter } from '../router';
 import { peerRouter } from '../router';
 import { RecentPeers, knownInstances } from '../recentPeers';
-import { followedFacts } from '../watch';
+import { changesFromResponse } from '../watch';
 import type { SimulatedStore } from './simulatedStore';
 import { StoreCallError } from './simulatedStore';
 
@@ -117,7 +117,7 @@
         const peers = [...knownInstances(clusterState, recentPeers).values()];
         round += 1;
         const answers = await Promise.all(
-          selectPeers(peers, self, [], round).map((at) => this.askFacts(member, at, known)),
+          selectPeers(peers, self, [], round).map((at) => this.queryRecords(member, at, known)),
         );
         return answers.filter((answer) => answer !== undefined);
       },
@@ -172,7 +172,7 @@
   ): Promise<T> {
     const to = this.live.get(at);
     const isNear = to?.self.region === from.self.region;
-    await pause(isNear ? SAME_REGION_RTT_MS : CROSS_REGION_RTT_MS);
+    await sleep(isNear ? SAME_REGION_RTT_MS : CROSS_REGION_RTT_MS);
     if (!to) throw unavailable('connection refused');
     const isPartitioned = () => from.partition === 'all' || to.partition === 'all';
     const pending = isPartitioned() ? undefined : answer(to);
@@ -182,7 +182,7 @@
     return value;
   }
 
-  private async askFacts(
+  private async queryRecords(
     from: SimulatedInstance,
     at: string,
     known: StorePosition,
@@ -216,14 +216,14 @@
       waitMs + CHANGES_TIMEOUT_MARGIN_MS,
       (to) => to.answers.changes(request),
     );
-    const facts = await followedFacts(peer, answer);
+    const facts = await changesFromResponse(peer, answer);
     if (facts.isErr()) throw new StoreCallError(facts.error.kind, facts.error.message);
     return facts.value;
   }
 }
 
 /** A fact that tests write to check which instances receive it. */
-export const evacuationFact = (name: string): StoreRecord['fact'] => ({
+export const evacuationValue = (name: string): StoreRecord['fact'] => ({
   kind: 'evacuation',
   failureDomain: failureDomainName(name),
 });
--- a/packages/gateway/src/peers/__fixtures__/simulatedStore.ts
+++ b/packages/gateway/src/peers/__fixtures__/simulatedStore.ts
@@ -10,7 +10,7 @@
   StoreFailure,
 } from '@cardamomladder/fleet';
 import type { StoreEpoch, StorePosition } from '@cardamomladder/types';
-import { pause, storeEpoch } from '@cardamomladder/types';
+import { sleep, storeEpoch } from '@cardamomladder/types';
 
 /** Round-trip time of a call, ms. */
 const ROUND_TRIP_MS = 4;
@@ -72,7 +72,7 @@
   }
 
   /** Returns the fact stored under a key, if any. */
-  factOf(key: string): StoreRecord['fact'] | undefined {
+  valueOf(key: string): StoreRecord['fact'] | undefined {
     return this.held.get(key)?.record.fact;
   }
 
@@ -148,12 +148,12 @@
   }
 
   private async respond<T>(isReachable: () => boolean, answer: () => Promise<T>): Promise<T> {
-    await pause(ROUND_TRIP_MS);
+    await sleep(ROUND_TRIP_MS);
     if (isReachable()) {
       const value = await answer();
       if (isReachable()) return value;
     }
-    await pause(CALL_TIMEOUT_MS);
+    await sleep(CALL_TIMEOUT_MS);
     throw new StoreCallError('unavailable', 'store unreachable');
   }
 
@@ -165,7 +165,7 @@
     this.calls.watch += 1;
     const end = this.now() + waitMs;
     while (this.revision === after && this.now() < end && isReachable())
-      await pause(POLL_INTERVAL_MS);
+      await sleep(POLL_INTERVAL_MS);
     if (after > this.revision) throw new StoreCallError('history-gone', 'no such revision');
     return {
       changes: this.changes.filter(({ revision }) => revision > after),
--- a/packages/gateway/src/peers/__tests__/membership.test.ts
+++ b/packages/gateway/src/peers/__tests__/membership.test.ts
@@ -8,7 +8,7 @@
 import { relayCount } from '@cardamomladder/fleet';
 import { failureDomainName } from '@cardamomladder/types';
 import type { Partition, SimulatedInstance } from '../__fixtures__/simulatedFleet';
-import { SimulatedFleet, evacuationFact } from '../__fixtures__/simulatedFleet';
+import { SimulatedFleet, evacuationValue } from '../__fixtures__/simulatedFleet';
 import { SimulatedStore } from '../__fixtures__/simulatedStore';
 
 vi.mock('node:zlib', async (original) =>
@@ -98,7 +98,7 @@
 };
 
 const expectTimelyPropagation = async (live: readonly SimulatedInstance[]): Promise<void> => {
-  store.put('evacuations/west', evacuationFact('west'));
+  store.put('evacuations/west', evacuationValue('west'));
   await vi.advanceTimersByTimeAsync(PROPAGATION_DEADLINE_MS);
   const west = failureDomainName('west');
   expect(live.filter(({ clusterState }) => !clusterState.evacuated.has(west))).toEqual([]);
@@ -184,7 +184,7 @@
     // than that, and it told its followers to list from the store.
     const live = await simulate(30, []);
     const { list, watch } = store.calls;
-    for (let i = 0; i < count; i += 1) store.put(`evacuations/d-${i}`, evacuationFact(`d-${i}`));
+    for (let i = 0; i < count; i += 1) store.put(`evacuations/d-${i}`, evacuationValue(`d-${i}`));
     await vi.advanceTimersByTimeAsync(PROPAGATION_DEADLINE_MS);
     const known = live.map(({ clusterState }) => clusterState.evacuated.size);
     expect(known).toEqual(live.map(() => count));
--- a/packages/gateway/src/peers/__tests__/reportSpread.test.ts
+++ b/packages/gateway/src/peers/__tests__/reportSpread.test.ts
@@ -90,7 +90,7 @@
   await vi.advanceTimersByTimeAsync(ROUND_MS);
 };
 
-const holds = ({ quarantine }: Member) => quarantine.holds(CRASHING);
+const holds = ({ quarantine }: Member) => quarantine.blocks(CRASHING);
 
 beforeEach(() => {
   vi.useFakeTimers();
--- a/packages/gateway/src/peers/__tests__/restoredStore.test.ts
+++ b/packages/gateway/src/peers/__tests__/restoredStore.test.ts
@@ -15,7 +15,7 @@
   targetId,
 } from '@cardamomladder/types';
 import type { SimulatedInstance } from '../__fixtures__/simulatedFleet';
-import { SimulatedFleet, evacuationFact } from '../__fixtures__/simulatedFleet';
+import { SimulatedFleet, evacuationValue } from '../__fixtures__/simulatedFleet';
 import { SimulatedStore } from '../__fixtures__/simulatedStore';
 
 vi.mock('node:zlib', async (original) =>
@@ -79,7 +79,7 @@
   write('configuration', configurationOf(version));
 };
 const writeFiller = (count: number): void => {
-  for (let i = 0; i < count; i += 1) store.put('other', evacuationFact('nowhere'));
+  for (let i = 0; i < count; i += 1) store.put('other', evacuationValue('nowhere'));
 };
 
 /** State of an instance that must not revert. */
@@ -149,7 +149,7 @@
 
 const rewrite = (): void =>
   written.forEach((fact, key) => {
-    if (store.factOf(key) !== fact) store.put(key, fact);
+    if (store.valueOf(key) !== fact) store.put(key, fact);
   });
 
 /** Restores the store from a copy, so that recent changes are lost, and writes new facts right after the restore. */
@@ -165,7 +165,7 @@
   write('targets/leaves', targetOf('leaves', true, 9));
   write('targets/goes', undefined);
   write('targets/comes', targetOf('comes', false, 1));
-  write('evacuations/west', evacuationFact('west'));
+  write('evacuations/west', evacuationValue('west'));
   writeFiller(4);
   const found = await advance(lostMs);
   const followed = store.revision;
--- a/packages/gateway/src/peers/ask.ts
+++ b/packages/gateway/src/peers/ask.ts
@@ -21,7 +21,7 @@
 /** Timeout for the full list of facts that a new instance requests, ms: 30 kB sent to dozens of instances at once over a 20 Mbit/s link. */
 const SNAPSHOT_TIMEOUT_MS = 800;
 
-const NO_KNOWN_MOMENT: StorePosition = { epoch: storeEpoch(0), revision: 0 };
+const INITIAL_POSITION: StorePosition = { epoch: storeEpoch(0), revision: 0 };
 
 /** Dependencies of the peer queries. */
 export interface PeerQueryOptions {
@@ -90,7 +90,7 @@
 };
 
 /** Creates the query that the follower uses while the store is unreachable. */
-export const askPeers = (options: PeerQueryOptions): PeerQuery => {
+export const createPeerQuery = (options: PeerQueryOptions): PeerQuery => {
   let round = 0;
   return async (known) => {
     const addresses = selectPeers(options.peers(), options.self, options.seeds, round);
@@ -108,12 +108,12 @@
  * from the store. An instance that is itself a seed lists from the store;
  * otherwise seeds that start together would wait for each other.
  */
-export const askSnapshot =
+export const createSnapshotQuery =
   (options: PeerQueryOptions, random: () => number): SnapshotQuery =>
   async () => {
     const { seeds, self } = options;
     if (seeds.length === 0 || seeds.includes(self.peerAddress)) return undefined;
     const address = seeds[Math.floor(random() * seeds.length)];
-    const answer = await queryPeer(options, address, NO_KNOWN_MOMENT, SNAPSHOT_TIMEOUT_MS);
+    const answer = await queryPeer(options, address, INITIAL_POSITION, SNAPSHOT_TIMEOUT_MS);
     return answer?.storeReachedForMs === undefined ? undefined : answer.list;
   };
--- a/packages/gateway/src/peers/reportExchange.ts
+++ b/packages/gateway/src/peers/reportExchange.ts
@@ -11,9 +11,9 @@
 /** Progress of the exchange with one peer. */
 interface ExchangeState {
   /** Up to which mark the peer has this instance's reports. */
-  sentMark: ReportCursor | undefined;
+  sentCursor: ReportCursor | undefined;
   /** Up to which mark this instance has the peer's reports. */
-  receivedMark: ReportCursor | undefined;
+  receivedCursor: ReportCursor | undefined;
 }
 
 /** Dependencies of the exchange. */
@@ -38,7 +38,7 @@
 
   const exchange = async (
     address: string,
-    { sentMark, receivedMark }: ExchangeState,
+    { sentCursor: sentMark, receivedCursor: receivedMark }: ExchangeState,
   ): Promise<void> => {
     const own = crashReports.after(sentMark);
     const raw = await peerClient(address, RESPONSE_TIMEOUT_MS).reports.mutate({
@@ -51,15 +51,18 @@
     // Reports just received from the peer need not be sent back to it.
     const receivedNew = isLatest && !hasAllReports(crashReports.mark, own.mark);
     stateByAddress.set(address, {
-      sentMark: receivedNew ? crashReports.mark : own.mark,
-      receivedMark: theirs.mark,
+      sentCursor: receivedNew ? crashReports.mark : own.mark,
+      receivedCursor: theirs.mark,
     });
   };
 
   return async (address, theirs) => {
-    const state = stateByAddress.get(address) ?? { sentMark: undefined, receivedMark: undefined };
-    const isSent = hasAllReports(crashReports.mark, state.sentMark);
-    if ((isSent && hasAllReports(theirs, state.receivedMark)) || inProgress.has(address)) return;
+    const state = stateByAddress.get(address) ?? {
+      sentCursor: undefined,
+      receivedCursor: undefined,
+    };
+    const isSent = hasAllReports(crashReports.mark, state.sentCursor);
+    if ((isSent && hasAllReports(theirs, state.receivedCursor)) || inProgress.has(address)) return;
     inProgress.add(address);
     try {
       await exchange(address, state);
--- a/packages/gateway/src/peers/reportFormat.ts
+++ b/packages/gateway/src/peers/reportFormat.ts
@@ -11,7 +11,7 @@
 const place = z.object({ epoch: z.number().transform(storeEpoch), revision: z.number() });
 
 const mark = z.object({ log: z.string(), sequence: z.number().int().min(0) });
-const passedReport = z.object({
+const forwardedReport = z.object({
   id: z.string().min(1),
   ageMs: z.number().min(0),
   report: z.object({
@@ -24,10 +24,10 @@
     place: place.optional(),
   }),
 });
-const passedReports = z.array(passedReport).max(MAX_REPORTS_PER_EXCHANGE);
+const forwardedReports = z.array(forwardedReport).max(MAX_REPORTS_PER_EXCHANGE);
 
 /** Request for a peer's reports; carries the sender's own reports. */
-export const reportsRequest = z.object({ after: mark.optional(), reports: passedReports });
+export const reportsRequest = z.object({ after: mark.optional(), reports: forwardedReports });
 
 /** Response to a `reportsRequest`. */
-export const reportsResponse = z.object({ mark, reports: passedReports });
+export const reportsResponse = z.object({ mark, reports: forwardedReports });
--- a/packages/gateway/src/peers/watch.ts
+++ b/packages/gateway/src/peers/watch.ts
@@ -23,7 +23,7 @@
 });
 
 /** Extracts the facts from a followed peer's response, or the reason why there are none. */
-export const followedFacts = (
+export const changesFromResponse = (
   peer: InstanceEntry,
   answer: ChangesResponse,
 ): ResultAsync<RelayedChanges, StoreFailure> => {
@@ -57,7 +57,7 @@
       }),
       (error) => peerFailure(peer, (error as Error).message),
     )
-      .andThen((answer: ChangesResponse) => followedFacts(peer, answer))
+      .andThen((answer: ChangesResponse) => changesFromResponse(peer, answer))
       .mapErr((failure) => {
         log.write('store', undefined, {
           event: 'followed peer failed',
--- a/packages/gateway/src/requests/crashEvidence.ts
+++ b/packages/gateway/src/requests/crashEvidence.ts
@@ -1,6 +1,6 @@
 /** Derives from the outcomes of sends whether a request crashes targets. */
 import { MIN_CRASHES_PER_CAUSE } from '@cardamomladder/steering';
-import { pause } from '@cardamomladder/types';
+import { sleep } from '@cardamomladder/types';
 import type { AttemptOutcome } from '../targets/attempt';
 import type { ReachableTarget } from '../targets/registry';
 import { FIRST_SERVER_ERROR } from './retryPolicy';
@@ -41,7 +41,7 @@
   if (outcome.kind === 'lost' && outcome.reason === 'closed') {
     const crashCheck = checkForCrash(execution, target);
     if (quarantine.crashCount(execution.asked) > 0)
-      await Promise.race([crashCheck, pause(CRASH_CHECK_TIMEOUT_MS)]);
+      await Promise.race([crashCheck, sleep(CRASH_CHECK_TIMEOUT_MS)]);
     return;
   }
   // A target that fails some of its requests may respond with an error before it processes them.
--- a/packages/gateway/src/requests/requestExecution.ts
+++ b/packages/gateway/src/requests/requestExecution.ts
@@ -69,7 +69,7 @@
     /** The request's span, the parent of the spans of its sends. */
     readonly span: Span,
   ) {
-    const { usualPriority } = ctx.registry.forService(request.service);
+    const { priorityBaseline: usualPriority } = ctx.registry.forService(request.service);
     this.urgent = usualPriority.observe(request.priority);
   }
 
@@ -95,7 +95,7 @@
   /** True if the request is quarantined because it crashes targets. */
   get quarantined(): boolean {
     const { quarantine } = this.ctx;
-    return !quarantine.isEmpty && quarantine.holds(this.asked);
+    return !quarantine.isEmpty && quarantine.blocks(this.asked);
   }
 
   countSend(target: TargetId): void {
--- a/packages/gateway/src/requests/send.ts
+++ b/packages/gateway/src/requests/send.ts
@@ -61,7 +61,7 @@
 
 /** Expected maximum duration of a send, ms; Infinity if unknown. */
 const expectedMs = ({ request, ctx }: RequestExecution, likelyCached: boolean): number => {
-  const { longest } = ctx.registry.forService(request.service);
+  const { peakResponseTimes: longest } = ctx.registry.forService(request.service);
   return (
     overdueAfterMs(longest[likelyCached ? 'cached' : 'uncached'].estimateAt(ctx.now())) ?? Infinity
   );
@@ -107,7 +107,7 @@
     const tookMs = ctx.now() - sentAt;
     recordOutcome(placed, result, tookMs, { ...sent, silent }, ctx.now());
     if (result.kind === 'answer') {
-      const { longest } = ctx.registry.forService(request.service);
+      const { peakResponseTimes: longest } = ctx.registry.forService(request.service);
       longest[likelyCached ? 'cached' : 'uncached'].record(tookMs, ctx.now());
     }
     if (result.kind === 'not-run' && !likelyCached) placed.cachedObjects.delete(request.key);
--- a/packages/gateway/src/requests/serve.ts
+++ b/packages/gateway/src/requests/serve.ts
@@ -89,7 +89,7 @@
 ): Promise<ReachableTarget | undefined> => {
   const { request, ctx } = execution;
   if (!isIdempotent(request.route.kind) || !execution.maySendMore) return undefined;
-  const { longest } = ctx.registry.forService(request.service);
+  const { peakResponseTimes: longest } = ctx.registry.forService(request.service);
   const now = ctx.now();
   const cold = placed.coldUntil > now;
   const waitMs = retryTimeoutMs(request.deadlineAt - now, {
@@ -107,7 +107,7 @@
 };
 
 /** Retry-After when all targets refused the request or were unreachable, ms. */
-const REFUSED_RETRY_AFTER_MS = 150;
+const REJECTED_RETRY_AFTER_MS = 150;
 
 /** The input of the placement decision, for the log: targets, age of their load reports, and versions in use. */
 const placementDetails = ({ request, ctx }: RequestExecution) => {
@@ -163,7 +163,7 @@
   if (outcome.kind === 'answer')
     return (await relay(res, outcome)) === 'complete' ? 'answered' : 'failed';
   if (outcome.kind === 'not-run' && !mayHaveRun)
-    return reject(execution, outcome.reason, REFUSED_RETRY_AFTER_MS);
+    return reject(execution, outcome.reason, REJECTED_RETRY_AFTER_MS);
   const { reason } = outcome;
   if (reason === 'timeout') return timeOut(execution);
   ctx.log.write('failed', request.id, { reason, sends: execution.sends, mayHaveRun });
@@ -194,7 +194,7 @@
     // An error response from one target is preferred to no response from the next.
     if (!target) return finish(execution, lastResponse ?? outcome, mayHaveRun);
   }
-  return reject(execution, 'no-target', REFUSED_RETRY_AFTER_MS);
+  return reject(execution, 'no-target', REJECTED_RETRY_AFTER_MS);
 };
 
 /** Handles one request to completion; never rejects. */
--- a/packages/gateway/src/server/callerServer.ts
+++ b/packages/gateway/src/server/callerServer.ts
@@ -28,7 +28,7 @@
 import { CREDENTIALS_HEADER } from '../wireProtocol';
 import { admit } from './admit';
 import { CallerConnections } from './callerConnections';
-import { countCustomerRequest, createRefusals } from './refusals';
+import { countCustomerRequest, createRejections } from './refusals';
 
 const spans = tracer('gateway');
 
@@ -76,7 +76,7 @@
   let customerLookup: CustomerTable | undefined;
   let limits: CallerLimits | undefined;
 
-  const refuse = createRefusals(options);
+  const refuse = createRejections(options);
   const identifyCaller = (req: IncomingMessage, route: Route): Identity => {
     if (!customerLookup) return { kind: 'anonymous' };
     const credentials = wire.parseCredentials(headerValues(req, CREDENTIALS_HEADER));
--- a/packages/gateway/src/server/refusals.ts
+++ b/packages/gateway/src/server/refusals.ts
@@ -11,7 +11,7 @@
 import type { WireProtocol } from '../wireProtocol';
 
 /** Dependencies of the refusals. */
-export interface RefusalOptions {
+export interface RejectionOptions {
   clusterState: ClusterState;
   wire: WireProtocol;
   quotas: Pick<Quotas, 'describe'>;
@@ -30,7 +30,13 @@
 };
 
 /** Creates the refusals of one instance. */
-export const createRefusals = ({ clusterState, wire, quotas, metrics, log }: RefusalOptions) => {
+export const createRejections = ({
+  clusterState,
+  wire,
+  quotas,
+  metrics,
+  log,
+}: RejectionOptions) => {
   const configuration = () => clusterState.configuration?.version;
   return {
     /** The request was not run, for a temporary reason (503). */
--- a/packages/gateway/src/targets/crashDetector.ts
+++ b/packages/gateway/src/targets/crashDetector.ts
@@ -13,7 +13,7 @@
 const CLOSE_CHECK_DELAYS_MS = [10, 40];
 
 /** Whether an address refuses connections. */
-export type RefusalCheck = (host: string, port: number) => Promise<boolean>;
+export type ConnectionRefusalCheck = (host: string, port: number) => Promise<boolean>;
 
 /** A crash check in progress, or one that has confirmed a crash. */
 interface CrashCheck {
@@ -42,7 +42,7 @@
   private readonly checks = new WeakMap<ReachableTarget, CrashCheck>();
 
   constructor(
-    private readonly refusesConnections: RefusalCheck,
+    private readonly refusesConnections: ConnectionRefusalCheck,
     private readonly report: (crash: TargetCrash) => void,
   ) {}
 
--- a/packages/gateway/src/targets/expiredTargets.ts
+++ b/packages/gateway/src/targets/recentlyRemovedTargets.ts
@@ -13,14 +13,14 @@
 /** How long a target is kept, ms: far longer than entries take to come back. */
 const RETENTION_MS = 60_000;
 
-interface ExpiredTarget {
+interface RemovedTarget {
   entry: TargetEntry;
   selfReport: SelfReport;
 }
 
 /** Recently removed targets by id. */
-export class ExpiredTargets {
-  private readonly targets: ExpiringMap<TargetId, ExpiredTarget>;
+export class RecentlyRemovedTargets {
+  private readonly targets: ExpiringMap<TargetId, RemovedTarget>;
 
   constructor(
     /** Monotonic clock, ms. */
--- a/packages/gateway/src/targets/registry.ts
+++ b/packages/gateway/src/targets/registry.ts
@@ -32,7 +32,7 @@
 import type { FleetMembers } from '../lifecycle/fleetMembers';
 import type { AdvertisedInstances } from '../lifecycle/advertisedInstances';
 import { TargetConnections } from './connections';
-import { ExpiredTargets } from './expiredTargets';
+import { RecentlyRemovedTargets } from './recentlyRemovedTargets';
 import { IdleLimit } from './idleLimit';
 import { demandByDomain, demandByRegion } from './regionDemand';
 import { compareRuns } from './runs';
@@ -54,10 +54,10 @@
   pool: ServicePool;
   rankings: Rankings;
   idleLimit: IdleLimit;
-  reportFade: ReportStaleness;
-  usualPriority: PriorityBaseline;
+  reportStaleness: ReportStaleness;
+  priorityBaseline: PriorityBaseline;
   /** The longest recent response times, for objects that the target was sent before and for new ones. */
-  longest: { cached: PeakResponseTime; uncached: PeakResponseTime };
+  peakResponseTimes: { cached: PeakResponseTime; uncached: PeakResponseTime };
 }
 
 /** Dependencies and settings of the registry. */
@@ -95,7 +95,7 @@
 
   private readonly limitShares: ShareCache<SharingInstances, LimitShare>;
 
-  private readonly expiredTargets: ExpiredTargets;
+  private readonly expiredTargets: RecentlyRemovedTargets;
 
   private readonly demand: ReadonlyMap<RegionName, number>;
 
@@ -104,7 +104,7 @@
 
   constructor(private readonly options: TargetRegistryOptions) {
     this.demand = demandByRegion(options.regionByDomain);
-    this.expiredTargets = new ExpiredTargets(options.now);
+    this.expiredTargets = new RecentlyRemovedTargets(options.now);
     this.coldShares = new ShareCache(
       () => options.fleet.list(),
       (id, fleet, allowance) => coldShare(id, options.self, fleet, allowance),
@@ -124,9 +124,9 @@
     const created: ServiceTargets = {
       rankings: new Rankings(),
       idleLimit: new IdleLimit(),
-      reportFade: new ReportStaleness(() => created.pool.targets.length),
-      usualPriority: new PriorityBaseline(),
-      longest: { cached: new PeakResponseTime(), uncached: new PeakResponseTime() },
+      reportStaleness: new ReportStaleness(() => created.pool.targets.length),
+      priorityBaseline: new PriorityBaseline(),
+      peakResponseTimes: { cached: new PeakResponseTime(), uncached: new PeakResponseTime() },
       pool: {
         targets: [],
         generation: 0,
@@ -237,7 +237,7 @@
         region: regionName(region),
         slots: entry.slots,
       },
-      this.forService(entry.service).reportFade,
+      this.forService(entry.service).reportStaleness,
     );
     const expired = this.expiredTargets.take(entry);
     if (expired) placed.selfReport = expired;
--- a/packages/load/src/__tests__/crashingRequests.test.ts
+++ b/packages/load/src/__tests__/crashingRequests.test.ts
@@ -1,6 +1,6 @@
 /** Quarantine of crashing requests, simulated in virtual time for fleets of different sizes. */
 import { afterEach, describe, expect, it } from 'vitest';
-import { pause } from '@cardamomladder/types';
+import { sleep } from '@cardamomladder/types';
 import type { CrashSimulationOptions } from '..';
 import { simulateCrashes } from '..';
 
@@ -31,7 +31,7 @@
 /** Pause in which the test runner can process messages, ms. */
 const RUNNER_PAUSE_MS = 50;
 // The simulations block the event loop, and the runner treats a worker that is unresponsive for a minute as failed.
-afterEach(() => pause(RUNNER_PAUSE_MS));
+afterEach(() => sleep(RUNNER_PAUSE_MS));
 
 describe('a fleet of one to 195 instances', { timeout: SIMULATION_TIMEOUT_MS }, () => {
   it('blocks a request that crashes targets and serves all other requests', () => {
--- a/packages/load/src/simulation/crashSimulation.ts
+++ b/packages/load/src/simulation/crashSimulation.ts
@@ -9,7 +9,7 @@
 import { EventQueue } from './eventQueue';
 import { seededRandom } from './loadSimulation';
 import type { CrashSimulationInstance } from './simulatedFleet';
-import { SimulatedFleet } from './simulatedFleet';
+import { CrashReportingFleet } from './simulatedFleet';
 
 const MS_PER_SECOND = 1000;
 /** Mean service time of a request, ms, and its relative spread to either side. */
@@ -50,7 +50,7 @@
 
   private readonly random: () => number;
 
-  private readonly fleet: SimulatedFleet;
+  private readonly fleet: CrashReportingFleet;
 
   private readonly targets: Target[];
 
@@ -66,7 +66,7 @@
 
   constructor(private readonly options: CrashSimulationOptions) {
     this.random = seededRandom(options.seed);
-    this.fleet = new SimulatedFleet(options.instances, this.events, this.random);
+    this.fleet = new CrashReportingFleet(options.instances, this.events, this.random);
     this.targets = Array.from({ length: options.targets }, () => this.startTarget());
   }
 
@@ -167,7 +167,7 @@
   }
 
   private isQuarantined({ quarantine }: CrashSimulationInstance, { asked }: Request): boolean {
-    return this.options.quarantineEnabled !== false && quarantine.holds(asked);
+    return this.options.quarantineEnabled !== false && quarantine.blocks(asked);
   }
 
   private sendToTarget(
--- a/packages/load/src/simulation/simulatedFleet.ts
+++ b/packages/load/src/simulation/simulatedFleet.ts
@@ -35,7 +35,7 @@
 }
 
 /** All instances, and the reports in the store. */
-export class SimulatedFleet {
+export class CrashReportingFleet {
   instances: CrashSimulationInstance[];
 
   private storedReports: StoredReport[] = [];
@@ -95,7 +95,7 @@
       answered: [...previous.answered, ...report.answered],
     };
     Object.assign(instance, { openReport: { key, report: merged } });
-    instance.quarantine.add(key, this.momentAt(UNSTORED_REVISION_BASE + this.lastId), merged);
+    instance.quarantine.add(key, this.positionAt(UNSTORED_REVISION_BASE + this.lastId), merged);
   }
 
   private startInstance(): CrashSimulationInstance {
@@ -126,7 +126,7 @@
     else this.store(key, report);
   }
 
-  private momentAt(revision: number): StorePosition {
+  private positionAt(revision: number): StorePosition {
     return { epoch: storeEpoch(this.epoch), revision };
   }
 
@@ -136,7 +136,7 @@
 
   private store(key: string, report: CrashReport): void {
     if (this.storedReports.some((each) => each.key === key)) return;
-    const moment = this.momentAt(this.storedReports.length + 1);
+    const moment = this.positionAt(this.storedReports.length + 1);
     this.storedReports.push({ key, moment, report, at: this.events.now });
     this.instances.forEach((instance) =>
       this.events.after(this.between(PROPAGATION_MS), () => {
--- a/packages/soak/src/guarantees.ts
+++ b/packages/soak/src/guarantees.ts
@@ -6,12 +6,12 @@
 import type { FaultHistory } from './faultHistory';
 
 /** `idempotent` requests may run more than once, `once` requests at most once. */
-export type RequestKind = 'idempotent' | 'once';
+export type SoakRequestKind = 'idempotent' | 'once';
 
 /** A request as its caller sent it; all times in ms on one monotonic clock. */
 export interface SentRequest {
   id: string;
-  kind: RequestKind;
+  kind: SoakRequestKind;
   path: string;
   body: string;
   instance: string;
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -5,7 +5,7 @@
 export type {
   ReceivedResponse,
   SentRequest,
-  RequestKind,
+  SoakRequestKind,
   ObservedRun,
   Violation,
 } from './guarantees';
--- a/packages/steering/src/__fixtures__/targets.ts
+++ b/packages/steering/src/__fixtures__/targets.ts
@@ -1,14 +1,14 @@
 /** Builds target states for steering tests. */
 import { failureDomainName, regionName, targetId } from '@cardamomladder/types';
 import type { TargetView } from '../service';
-import type { LoadReport } from '../headroom';
+import type { TimedLoadReport } from '../headroom';
 
 /** An eligible target in `region`, in failure domain `<region>-a`. */
 export const targetView = (
   id: string,
   region: string,
   slots: number,
-  report?: LoadReport,
+  report?: TimedLoadReport,
 ): TargetView => ({
   id: targetId(id),
   region: regionName(region),
--- a/packages/steering/src/headroom.ts
+++ b/packages/steering/src/headroom.ts
@@ -8,7 +8,7 @@
  */
 
 /** A target's most recent load report: busy slots at `at` (ms since the epoch). */
-export interface LoadReport {
+export interface TimedLoadReport {
   inflight: number;
   at: number;
 }
@@ -18,7 +18,7 @@
   slots: number;
   /** Requests from this entry that are in flight to the target. */
   localInflight: number;
-  report?: LoadReport;
+  report?: TimedLoadReport;
 }
 
 /** Age limits for load reports. */
--- a/packages/steering/src/index.ts
+++ b/packages/steering/src/index.ts
@@ -6,14 +6,14 @@
   restrictToRegions,
   scheduledSplitAt,
 } from './shares';
-export type { LoadReport, StalenessLimits, TargetLoad } from './headroom';
+export type { TimedLoadReport, StalenessLimits, TargetLoad } from './headroom';
 export { DEFAULT_STALENESS_LIMITS, estimateBusySlots, headroom } from './headroom';
 export type { TargetChoice, RegionReserves, TargetView } from './service';
 export { ServiceSteering } from './service';
 export { LoadEstimate } from './placement/loadEstimate';
 export { ReportStaleness } from './placement/reportStaleness';
 export { coldShare } from './placement/coldShare';
-export { fleetRank } from './placement/fleetRank';
+export { instanceRank } from './placement/instanceRank';
 export type { PeakEstimate } from './placement/peakResponseTime';
 export { PeakResponseTime, overdueAfterMs } from './placement/peakResponseTime';
 export type { RepeatBound } from './placement/retryBudget';
--- a/packages/steering/src/placement/__tests__/place.test.ts
+++ b/packages/steering/src/placement/__tests__/place.test.ts
@@ -44,7 +44,7 @@
   spillover: new CrossRegionSpillover(),
   evacuated: () => false,
   coldShare: () => 0,
-  limitShare: () => ({ intervalMs: 1000, phase: 1 }),
+  limitShare: () => ({ intervalMs: 1000, initialDelayFraction: 1 }),
   ...changes,
 });
 const sixTargets = () =>
--- a/packages/steering/src/placement/advertisedLimit.ts
+++ b/packages/steering/src/placement/advertisedLimit.ts
@@ -62,7 +62,7 @@
    * Returns how long a request has to wait under this instance's share, in
    * milliseconds; 0 if it may be sent now.
    */
-  waitMs({ intervalMs, phase }: LimitShare, now: number): number {
+  waitMs({ intervalMs, initialDelayFraction: phase }: LimitShare, now: number): number {
     if (this.current === undefined) return 0;
     const pauseMs = this.awaitsFirstSend ? intervalMs * phase : intervalMs;
     return Math.max(0, this.lastSendAt + pauseMs - now);
--- a/packages/steering/src/placement/candidates.ts
+++ b/packages/steering/src/placement/candidates.ts
@@ -23,7 +23,7 @@
   !request.tried.has(target.id) &&
   (request.homeRegions.length === 0 || request.homeRegions.includes(target.region));
 
-const admissible = (target: TargetState, pool: ServicePool, request: PlacementRequest): boolean =>
+const eligibleNow = (target: TargetState, pool: ServicePool, request: PlacementRequest): boolean =>
   eligible(target, pool, request) && pauseMs(target, pool, request.now) === 0;
 
 const isCold = (target: TargetState, now: number): boolean => target.coldUntil > now;
@@ -80,7 +80,7 @@
   request: PlacementRequest,
   pool: ServicePool,
 ): WarmCandidates => {
-  const isWarm = (t: TargetState) => admissible(t, pool, request) && !isCold(t, request.now);
+  const isWarm = (t: TargetState) => eligibleNow(t, pool, request) && !isCold(t, request.now);
   const best = findFirst(ranking, 1 + STICKY_SEARCH_DEPTH, isWarm);
   const first = stickyTarget(best, request) ?? best[0];
   if (!first) return {};
@@ -113,7 +113,7 @@
   findFirst(
     rankings.of(request.key, request.locality, pool),
     MAX_COLD_CANDIDATES,
-    (target) => admissible(target, pool, request) && isCold(target, request.now),
+    (target) => eligibleNow(target, pool, request) && isCold(target, request.now),
   );
 
 /**
--- a/packages/steering/src/placement/coldShare.ts
+++ b/packages/steering/src/placement/coldShare.ts
@@ -6,7 +6,7 @@
  * division goes to the instances that rank first for the target, so that a fleet
  * larger than the bound still warms each target up.
  */
-import { fleetRank } from './fleetRank';
+import { instanceRank } from './instanceRank';
 
 /**
  * Fraction of the tolerated rate that is used; the rest covers instances that disagree
@@ -28,5 +28,5 @@
   const fleetSize = Math.max(1, instances.length);
   const base = Math.floor(budget / fleetSize);
   const remainder = budget - base * fleetSize;
-  return base + (fleetRank(targetId, self, instances) < remainder ? 1 : 0);
+  return base + (instanceRank(targetId, self, instances) < remainder ? 1 : 0);
 };
--- a/packages/steering/src/placement/limitShare.ts
+++ b/packages/steering/src/placement/limitShare.ts
@@ -11,7 +11,7 @@
  * has been lifted.
  */
 import type { InstanceId } from '@cardamomladder/types';
-import { fleetRank } from './fleetRank';
+import { instanceRank } from './instanceRank';
 
 /**
  * What operators tolerate beyond a limit: a multiple of the limit within a window,
@@ -50,7 +50,7 @@
    * Fraction of the interval, from 0 to 1, that the first request is delayed by, to
    * stagger the instances.
    */
-  phase: number;
+  initialDelayFraction: number;
 }
 
 /** Returns how many of `size` instances may share a limit. */
@@ -69,13 +69,13 @@
 ): LimitShare => {
   const limit = Math.max(perSecond, MIN_PER_SECOND);
   const sharers = sharerCount(perSecond, size);
-  const rank = fleetRank(id, self, ids);
+  const rank = instanceRank(id, self, ids);
   const hasShare = ids.includes(self) && rank < sharers;
   const groupSize = hasShare ? sharers : Math.max(1, size - sharers);
   const fraction = hasShare ? 1 : PROBE_FRACTION;
   const rankInGroup = hasShare ? rank : Math.max(0, rank - sharers);
   return {
     intervalMs: (groupSize / (limit * fraction)) * MS_PER_SECOND,
-    phase: Math.min(1, (rankInGroup + 1) / groupSize),
+    initialDelayFraction: Math.min(1, (rankInGroup + 1) / groupSize),
   };
 };
--- a/packages/steering/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/steering/src/quarantine/__tests__/quarantine.test.ts
@@ -29,13 +29,13 @@
     // The same crash, reported by another instance with other requests in flight.
     quarantine.add('south', at(11), report([2], [asked('other')]));
     quarantine.add('south-too', at(12), report([2]));
-    expect(quarantine.holds(CRASHING)).toBe(false);
+    expect(quarantine.blocks(CRASHING)).toBe(false);
     expect(quarantine.crashCount(CRASHING)).toBe(2);
     quarantine.add('east', at(13), report([3]));
-    expect(quarantine.holds(CRASHING)).toBe(true);
-    expect(quarantine.holds(asked('other'))).toBe(false);
+    expect(quarantine.blocks(CRASHING)).toBe(true);
+    expect(quarantine.blocks(asked('other'))).toBe(false);
     // Nothing indicates yet that it does harm for another caller.
-    expect(quarantine.holds(asked('crashing', 'd'))).toBe(false);
+    expect(quarantine.blocks(asked('crashing', 'd'))).toBe(false);
   });
 
   it('does not blame earlier crashes on a request that was answered since, in any order of the reports', () => {
@@ -47,7 +47,7 @@
     [reports, [...reports].reverse()].forEach((order) => {
       const quarantine = new Quarantine(() => 0);
       order.forEach((each) => quarantine.add(...each));
-      expect(quarantine.holds(CRASHING)).toBe(false);
+      expect(quarantine.blocks(CRASHING)).toBe(false);
       expect(quarantine.crashCount(CRASHING)).toBe(1);
     });
   });
@@ -57,7 +57,7 @@
     const quarantine = new Quarantine(() => 0);
     quarantine.add('south', at(50), { crashes: [], answered: [CRASHING] });
     quarantine.add('north', at(20, 1), report([1, 2, 3]));
-    expect(quarantine.holds(CRASHING)).toBe(true);
+    expect(quarantine.blocks(CRASHING)).toBe(true);
   });
 
   // Guards against lost reports being ordered by when they were filed again instead of by their original position.
@@ -66,7 +66,7 @@
     const again = { crashes: [], answered: [CRASHING], place: at(50) };
     quarantine.add('south', at(20, 1), again);
     quarantine.add('north', at(21, 1), { ...report([1, 2, 3]), place: at(40) });
-    expect(quarantine.holds(CRASHING)).toBe(false);
+    expect(quarantine.blocks(CRASHING)).toBe(false);
   });
 
   it('does not block requests that many callers make and targets keep answering', () => {
@@ -81,7 +81,7 @@
         answered: [{ request: popular }],
       }),
     );
-    expect(quarantine.holds(asked('popular', 'f'))).toBe(false);
+    expect(quarantine.blocks(asked('popular', 'f'))).toBe(false);
   });
 
   it('blocks a request that crashes targets for one caller while it is answered for others', () => {
@@ -90,8 +90,8 @@
       ...report([1, 2, 3]),
       answered: [{ request: CRASHING.request }],
     });
-    expect(quarantine.holds(CRASHING)).toBe(true);
-    expect(quarantine.holds(asked('crashing', 'd'))).toBe(false);
+    expect(quarantine.blocks(CRASHING)).toBe(true);
+    expect(quarantine.blocks(asked('crashing', 'd'))).toBe(false);
   });
 
   it('forgets a removed report, and is empty once all are removed', () => {
--- a/packages/steering/src/quarantine/quarantine.ts
+++ b/packages/steering/src/quarantine/quarantine.ts
@@ -37,7 +37,7 @@
  * misses a few polls; a request released wrongly crashes one or two targets before it
  * is blocked again.
  */
-const SUSPICION_HOLD_MS = 120_000;
+const SUSPICION_BLOCK_MS = 120_000;
 
 const NO_CRASHES: Attribution = { suspected: new Set(), causes: new Set(), crashes: new Map() };
 
@@ -48,8 +48,8 @@
 ];
 
 /** Returns true if `moment` is defined and not earlier than `place`. */
-const isAtOrAfter = (moment: StorePosition | undefined, place: StorePosition): boolean =>
-  moment !== undefined && comparePositions(moment, place) >= 0;
+const isAtOrAfter = (position: StorePosition | undefined, place: StorePosition): boolean =>
+  position !== undefined && comparePositions(position, place) >= 0;
 
 /** The requests blocked because of the known crash reports. */
 export class Quarantine {
@@ -96,8 +96,8 @@
   }
 
   /** Returns true if a request must not be sent to a target. */
-  holds(asked: IssuedRequest): boolean {
-    return suspectsOf(asked).some((suspect) => this.isSuspectHeld(suspect));
+  blocks(asked: IssuedRequest): boolean {
+    return suspectsOf(asked).some((suspect) => this.isSuspectBlocked(suspect));
   }
 
   /**
@@ -139,11 +139,11 @@
       .map(([key]) => key);
   }
 
-  private isSuspectHeld(suspect: Suspect): boolean {
+  private isSuspectBlocked(suspect: Suspect): boolean {
     const { suspected, causes } = this.attribution;
     if (causes.has(suspect)) return true;
     if (!suspected.has(suspect)) return false;
-    return this.now() - (this.lastCrashAt.get(suspect) ?? 0) <= SUSPICION_HOLD_MS;
+    return this.now() - (this.lastCrashAt.get(suspect) ?? 0) <= SUSPICION_BLOCK_MS;
   }
 
   private computeAttribution(): Attribution {
--- a/packages/steering/src/service.ts
+++ b/packages/steering/src/service.ts
@@ -38,7 +38,7 @@
 /** Retry delay for callers when all slots of the region are in use. */
 const REGION_FULL_RETRY_AFTER_MS = 1000;
 /** Retry delay when no target is eligible: the member list needs time to update. */
-const NO_TARGET_RETRY_AFTER_MS = 5000;
+const ENTRY_NO_TARGET_RETRY_AFTER_MS = 5000;
 /** Initial weight of a new target, before its caches are warm. */
 const COLD_TARGET_WEIGHT = 0.1;
 
@@ -225,7 +225,7 @@
       (t) => this.isEligible(t, now) && !exclude.has(t.id),
     );
     if (eligible.length === 0)
-      return { kind: 'refused', reason: 'no-target', retryAfterMs: NO_TARGET_RETRY_AFTER_MS };
+      return { kind: 'refused', reason: 'no-target', retryAfterMs: ENTRY_NO_TARGET_RETRY_AFTER_MS };
     const firstAttempt = exclude.size === 0;
     // A region that lost its last target keeps its share until the next tick;
     // picking it would reject a request that another region can serve.
--- a/packages/targets/src/client/forward.ts
+++ b/packages/targets/src/client/forward.ts
@@ -14,7 +14,7 @@
 import { DEADLINE_HEADER, LOAD_HEADER, NOT_RUN_HEADER } from '../protocol';
 
 /** Parameters of one attempt. */
-export interface Attempt {
+export interface AttemptOptions {
   /** `host:port` of the target. */
   address: string;
   method: string;
@@ -51,7 +51,7 @@
 };
 
 /** Sends a request once; the returned promise never rejects. */
-export const sendAttempt = (attempt: Attempt): Promise<AttemptResult> =>
+export const sendAttempt = (attempt: AttemptOptions): Promise<AttemptResult> =>
   new Promise((resolve) => {
     const [host, port] = attempt.address.split(':');
     const remaining = Math.max(0, attempt.deadlineAt - Date.now());
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -50,6 +50,6 @@
 export type { StorePosition } from './storePosition';
 export { comparePositions, positionOf } from './storePosition';
 export { splitAddress } from './address';
-export { pause } from './pause';
+export { sleep } from './sleep';
 export type { FailureKind, SchemaIssue } from './errors';
 export { Failure, describeIssues, failure, fieldPath } from './errors';
--- a/packages/types/src/pause.ts
+++ b/packages/types/src/sleep.ts
@@ -3,7 +3,7 @@
  * call, so that tests with fake timers can simulate hours of fleet operation;
  * the promise API of `node:timers` always uses the real timer.
  */
-export const pause = (ms: number): Promise<void> =>
+export const sleep = (ms: number): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
