--- a/packages/document/src/schema.ts
+++ b/packages/document/src/schema.ts
@@ -53,7 +53,7 @@
     .default(20),
   /**
    * The planned shift in progress, written by the console when shares change:
-   * the split it started from and its start time (ms since the epoch). All
+   * the split it started from and its start time (Unix time, ms). All
    * entries derive the current split from these values, so they agree on it.
    */
   shift: z
--- a/packages/entry/src/server/attempt.ts
+++ b/packages/entry/src/server/attempt.ts
@@ -25,7 +25,7 @@
   path: string;
   body: Buffer;
   key: RequestKey | undefined;
-  /** Wall-clock time, in ms since the epoch. */
+  /** Wall-clock time (Unix time, ms). */
   deadlineAt: number;
   /** Aborted when the caller disconnects. */
   signal: AbortSignal;
--- a/packages/entry/src/server/routes.ts
+++ b/packages/entry/src/server/routes.ts
@@ -24,7 +24,7 @@
   metrics: EntryMetrics;
   self: EntryAddress;
   entries: () => EntryAddress[];
-  /** True once a planned stop has begun; new requests are then rejected as not run. */
+  /** True once a graceful shutdown has begun; new requests are then rejected as not run. */
   stopping: () => boolean;
   onRequest: (done: Promise<unknown>) => void;
 };
--- a/packages/entry/src/state/config.ts
+++ b/packages/entry/src/state/config.ts
@@ -1,9 +1,9 @@
 /**
- * Watches the operators' document in the platform KV. A document is applied
- * only if it is valid and its revision is higher than the current one, so a
- * delayed watch response, a replayed event or a stale writer cannot revert the
- * configuration. While the store is unreachable, the last valid document stays
- * in effect and the entry keeps serving.
+ * Watches the operators' document in the platform's key-value store. A
+ * document is applied only if it is valid and its revision is higher than the
+ * current one, so a delayed watch response, a replayed event or a stale writer
+ * cannot revert the configuration. While the store is unreachable, the last
+ * valid document stays in effect and the entry keeps serving.
  */
 import { BehaviorSubject } from 'rxjs';
 import type { Subscription } from 'rxjs';
--- a/packages/entry/src/state/registry.ts
+++ b/packages/entry/src/state/registry.ts
@@ -16,7 +16,7 @@
 /** This entry's registration and the list of all entries. */
 export interface Registry {
   entries: () => EntryAddress[];
-  /** Removes this entry from the list before a planned stop. */
+  /** Removes this entry from the list before a graceful shutdown. */
   deregister: () => Promise<void>;
   stop: () => void;
 }
--- a/packages/fleet/src/__tests__/snapshot.test.ts
+++ b/packages/fleet/src/__tests__/snapshot.test.ts
@@ -53,9 +53,8 @@
 
 describe('the first records of a new instance', () => {
   it('come from a peer, and the changes since then from the store by revision', async () => {
-    // Guards against a list storm at startup: when every instance of a fleet of
-    // 195 listed from the store, this caused 390 list calls and 150,000 decoded
-    // entries within a second.
+    // Guards against a list call by every instance at startup: in a fleet of 195,
+    // this caused 390 list calls and 150,000 decoded entries within a second.
     const { calls, clusterState } = await recordStoreCalls(LIST);
     expect(calls[0]).toBe('watch after 9');
     expect(['t-1', 't-2', 't-3'].every((id) => clusterState.hasRecord(`targets/${id}`))).toBe(true);
--- a/packages/fleet/src/records.ts
+++ b/packages/fleet/src/records.ts
@@ -28,7 +28,7 @@
   leaving: boolean;
   /** How long the target remains cold after the entry was written, ms. */
   coldForMs: number;
-  /** Start time of this run of the target, Unix ms; unset if the target does not report it. */
+  /** Start time of this run of the target (Unix time, ms); unset if the target does not report it. */
   startedAt?: number;
   /** Number of writes of the entry by this run; starts low and increases. */
   writes: number;
--- a/packages/fleet/src/storeConnectivity.ts
+++ b/packages/fleet/src/storeConnectivity.ts
@@ -42,7 +42,7 @@
   /** Whether a peer has been connected to the store long enough to have received rewritten entries. */
   private peerFollowsStore = false;
 
-  /** When a relay failed; cleared when the store has responded since. The store may have caused the relay's failure. */
+  /** When a relay failed, possibly because of the store; undefined once the store has responded after that. */
   private suspectedSince: number | undefined;
 
   /** When the store last responded to this instance directly. */
--- a/packages/gateway/src/daemon.ts
+++ b/packages/gateway/src/daemon.ts
@@ -1,4 +1,4 @@
-/** Builds one gateway instance and runs it from startup to planned shutdown. */
+/** Builds one gateway instance and runs it from startup to graceful shutdown. */
 import type { ClusterState, Store } from '@cardamomladder/fleet';
 import type { InstanceSettings } from '@cardamomladder/settings';
 import type { GatewayMetrics, LineWriter } from '@cardamomladder/telemetry';
@@ -24,7 +24,7 @@
   metrics: GatewayMetrics;
   /** Applies changed settings, except those that need a restart. */
   reload: (settings: InstanceSettings) => void;
-  /** Planned shutdown; resolves once no work is in progress. */
+  /** Graceful shutdown; resolves once no work is in progress. */
   stop: () => Promise<void>;
 }
 
--- a/packages/gateway/src/lifecycle/__tests__/advertisedInstances.test.ts
+++ b/packages/gateway/src/lifecycle/__tests__/advertisedInstances.test.ts
@@ -37,7 +37,7 @@
 };
 
 describe('advertised instances', () => {
-  it('are the strong ones, and still count for a while after their removal', () => {
+  it('are the high-capacity ones, and still count for a while after their removal', () => {
     // Guards against shares that grow while partitioned instances still use theirs.
     const { clock, join, leave, ids } = fleet();
     [machine('s-1', 1), machine('s-2', 1), machine('w-1', 0.2), machine('w-2', 0.2)].forEach(join);
--- a/packages/gateway/src/lifecycle/loopDelay.ts
+++ b/packages/gateway/src/lifecycle/loopDelay.ts
@@ -1,9 +1,9 @@
 /**
  * Monitors the event loop delay of this instance. On a machine that is slow,
- * starved by its neighbours or was suspended, every response is late although
- * the targets and the store are healthy; the log of one such instance out of
- * two hundred would only show long sends, as if the targets were slow. A timer
- * that fires late distinguishes the two cases.
+ * overcommitted or was suspended, responses are processed late although the
+ * targets and the store respond in time. In a fleet of two hundred instances,
+ * the log of one on such a machine shows only long sends, as if the targets were
+ * slow. A timer that fires late distinguishes the two cases.
  */
 import type { GatewayMetrics } from '@cardamomladder/telemetry';
 import type { DecisionLog } from '../decisionLog';
--- a/packages/gateway/src/lifecycle/phase.ts
+++ b/packages/gateway/src/lifecycle/phase.ts
@@ -1,5 +1,5 @@
 /**
- * Phases of a planned shutdown. Callers keep using their connections until
+ * Phases of a graceful shutdown. Callers keep using their connections until
  * their cached directory response is replaced by one without this instance, so
  * closing connections at once would interrupt requests. Requests accepted too
  * late, on the other hand, cannot finish before the process is killed.
--- a/packages/gateway/src/lifecycle/stop.ts
+++ b/packages/gateway/src/lifecycle/stop.ts
@@ -1,4 +1,4 @@
-/** Planned shutdown, from the signal until no requests are in progress. */
+/** Graceful shutdown, from the signal until no requests are in progress. */
 import type { BehaviorSubject } from 'rxjs';
 import type { Registration } from '@cardamomladder/fleet';
 import { pause } from '@cardamomladder/types';
--- a/packages/gateway/src/listeners.ts
+++ b/packages/gateway/src/listeners.ts
@@ -28,7 +28,7 @@
 
 /** The running servers. */
 export interface Listeners {
-  /** Caller connections, tracked for a planned shutdown. */
+  /** Caller connections, tracked for a graceful shutdown. */
   connections: CallerConnections;
   close: () => void;
 }
--- a/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
+++ b/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
@@ -41,7 +41,7 @@
 /** Round-trip time between two instances, ms: within one region and between two. */
 const SAME_REGION_RTT_MS = 2;
 const CROSS_REGION_RTT_MS = 40;
-/** Timeout of a facts request, and the time a followed peer may take beyond its wait time, ms. */
+/** Timeout of a request for records, and the time a followed peer may take beyond its wait time, ms. */
 const FACTS_TIMEOUT_MS = 400;
 const CHANGES_TIMEOUT_MARGIN_MS = 300;
 
--- a/packages/gateway/src/peers/__fixtures__/synchronousZlib.ts
+++ b/packages/gateway/src/peers/__fixtures__/synchronousZlib.ts
@@ -18,7 +18,7 @@
     done(null, result);
   };
 
-/** For `vi.mock('node:zlib', synchronousZlib)`, in tests that compress facts on a fake clock. */
+/** For `vi.mock('node:zlib', synchronousZlib)`, in tests that compress records on a fake clock. */
 export const synchronousZlib = async (original: () => Promise<Zlib>) => {
   const zlib = await original();
   return {
--- a/packages/gateway/src/peers/__tests__/restoredStore.test.ts
+++ b/packages/gateway/src/peers/__tests__/restoredStore.test.ts
@@ -1,6 +1,6 @@
 /**
  * Tests the state that instances hold while the store is restored from older
- * copies: they receive new facts in time and revert to no earlier state,
+ * copies: they receive new records in time and revert to no earlier state,
  * whatever the store's revisions are afterwards.
  */
 import fc from 'fast-check';
@@ -24,9 +24,9 @@
 
 /** Time within which a fleet has registered and selected its relays, ms. */
 const SETTLE_MS = 6000;
-/** Time within which new facts must be known once the store responds again, ms: the allowed time minus one second for requests in progress. */
+/** Time within which new records must be known once the store responds again, ms: the allowed time minus one second for requests in progress. */
 const PROPAGATION_DEADLINE_MS = 1500;
-/** Delay after the restore until operators and targets write lost facts again, ms. */
+/** Delay after the restore until operators and targets write lost records again, ms. */
 const REWRITE_DELAY_MS = 1500;
 const CHECK_INTERVAL_MS = 50;
 
@@ -152,7 +152,7 @@
     if (store.factOf(key) !== fact) store.put(key, fact);
   });
 
-/** Restores the store from a copy, so that recent changes are lost, and writes new facts right after the restore. */
+/** Restores the store from a copy, so that recent changes are lost, and writes new records right after the restore. */
 const runScenario = async ({
   lostMs,
   awayMs,
@@ -241,8 +241,8 @@
 );
 
 describe('instances of a fleet whose store is restored from older copies', () => {
-  // Guards against missed facts and reverted states caused by revisions from before the restore.
-  it('receive new facts in time and revert no state', async () => {
+  // Guards against missed records and reverted states caused by revisions from before the restore.
+  it('receive new records in time and revert no state', async () => {
     await fc.assert(
       fc
         .asyncProperty(fc.integer({ min: 1, max: 30 }), scenarios, simulate)
--- a/packages/gateway/src/peers/ask.ts
+++ b/packages/gateway/src/peers/ask.ts
@@ -1,5 +1,5 @@
 /**
- * Queries a few peers for the facts they hold: one nearby and one that rotates
+ * Queries a few peers for the records they hold: one nearby and one that rotates
  * through the fleet, so that an instance in a partitioned failure domain does
  * not only query peers inside it. A new instance queries a seed peer from its
  * settings.
@@ -16,9 +16,9 @@
 const MAX_PEERS_PER_ROUND = 2;
 /** Step of the rotation as a fraction of all peers: any few consecutive steps are spread evenly over the fleet. */
 const GOLDEN_RATIO_CONJUGATE = (Math.sqrt(5) - 1) / 2;
-/** Timeout of a facts query, ms: more than two trips between any two regions. */
+/** Timeout of a query for records, ms: more than two trips between any two regions. */
 const FACTS_TIMEOUT_MS = 400;
-/** Timeout for the full list of facts that a new instance requests, ms: 30 kB sent to dozens of instances at once over a 20 Mbit/s link. */
+/** Timeout for the full list of records that a new instance requests, ms: 30 kB sent to dozens of instances at once over a 20 Mbit/s link. */
 const SNAPSHOT_TIMEOUT_MS = 800;
 
 const NO_KNOWN_MOMENT: StorePosition = { epoch: storeEpoch(0), revision: 0 };
@@ -42,9 +42,9 @@
 
 /**
  * Returns the addresses of the peers to query in the given round. The rotating
- * peer is far from the previous one and differs between instances: if all
- * instances queried the same one and advanced by one place per round, a large
- * fleet would for a long time query nobody outside its own region.
+ * peer is far from the previous one and differs between instances. A rotation by
+ * one position per round, the same at all instances, would take many rounds in a
+ * large fleet to reach a peer outside the region.
  */
 export const selectPeers = (
   peers: readonly InstanceEntry[],
--- a/packages/gateway/src/peers/reportExchange.ts
+++ b/packages/gateway/src/peers/reportExchange.ts
@@ -5,7 +5,7 @@
 import { peerClient } from './client';
 import { reportsResponse } from './reportFormat';
 
-/** Response timeout of a peer, ms: the same as for facts. */
+/** Response timeout of a peer, ms: the same as for records. */
 const RESPONSE_TIMEOUT_MS = 400;
 
 /** Progress of the exchange with one peer. */
--- a/packages/gateway/src/peers/router.ts
+++ b/packages/gateway/src/peers/router.ts
@@ -1,10 +1,10 @@
 /**
- * Procedures that an instance offers to its peers: the facts it holds, for
+ * Procedures that an instance offers to its peers: the records it holds, for
  * peers that cannot reach the store; the changes it watches, for peers that
  * follow the store through it; an exchange of crash reports that the store may
- * not have; and tokens of the customers it keeps. Requests for facts and
- * changes carry the sender's own entry; receiving one directly shows that the
- * sender is alive, even if its entry in the store is gone.
+ * not have; and tokens of the customers for which it is the lender. Requests
+ * for records and changes carry the sender's own entry; receiving one directly
+ * shows that the sender is alive, even if its entry in the store is gone.
  */
 import { initTRPC } from '@trpc/server';
 import { filter, first, firstValueFrom, merge, timer } from 'rxjs';
@@ -38,18 +38,18 @@
   follower: Follower;
   crashReports: Pick<CrashReports, 'mark' | 'after' | 'receive'>;
   recordPeer: (asker: InstanceEntry) => void;
-  /** Lends tokens of the customers whose token pools this instance keeps. */
+  /** Lends tokens of the customers for which this instance is the lender. */
   lend: (question: TokenRequest) => TokenResponse;
   /** Monotonic clock, ms. */
   now: () => number;
 }
 
-/** The facts newer than the requested revision: the changes if they are still retained, otherwise all facts. */
+/** The records newer than the requested revision: the changes if they are still retained, otherwise all records. */
 export interface FactsResponse {
   /** How long the store has been reachable, ms; unset while it is not. */
   storeReachedForMs?: number;
   changes?: RecordChanges;
-  /** All facts, compressed. */
+  /** All records, compressed. */
   packed?: string;
   /** Mark up to which this instance has crash reports that the store may not have; older versions omit it. */
   reports?: ReportCursor;
@@ -66,14 +66,14 @@
   packed?: string;
 }
 
-/** All facts for a following peer, compressed, and the time since the last response of the store, ms. */
+/** All records for a following peer, compressed, and the time since the last response of the store, ms. */
 interface FullList {
   kind: 'list';
   list: string;
   storeHeardMsAgo: number;
 }
 
-/** Response to a following peer: the changes, all facts if the changes are no longer retained, or the reason why it must query another instance. */
+/** Response to a following peer: the changes, all records if the changes are no longer retained, or the reason why it must query another instance. */
 export type ChangesResponse =
   IncrementalChanges | FullList | { kind: 'not-watching' } | { kind: 'history-gone' };
 
@@ -83,7 +83,7 @@
 const factsRequest = z.object({
   /** Store epoch that the sender follows; older versions omit it. */
   epoch: z.number().default(0).transform(storeEpoch),
-  /** Store revision up to which the sender has all facts. */
+  /** Store revision up to which the sender has all records. */
   revision: z.number(),
   /** The sender's entry while it accepts callers, otherwise null. */
   asker: z.custom<InstanceEntry>().nullable(),
@@ -96,11 +96,11 @@
   takesLists: z.boolean().default(false),
 });
 
-/** True if the instance reads from the store itself. Only such facts are passed on: two instances that followed each other would never receive a change. */
+/** True if the instance reads from the store itself. Only such records are passed on: two instances that followed each other would never receive a change. */
 const watchesStore = ({ reached, through }: StoreStatus): boolean =>
   reached && through === undefined;
 
-/** Compressed responses shared by all peers that follow this instance or request its facts. */
+/** Compressed responses shared by all peers that follow this instance or request its records. */
 interface PackedCache {
   facts: PackedListCache;
   changes: PackedChangesCache;
@@ -144,7 +144,7 @@
   );
 };
 
-/** Returns the facts newer than `known`: only the changes if they are retained, which are often one or two facts instead of hundreds. */
+/** Returns the records newer than `known`: only the changes if they are retained, which are often one or two records instead of hundreds. */
 const factsSince = async (
   { clusterState, follower }: PeerRouterOptions,
   packed: PackedListCache,
--- a/packages/gateway/src/peers/watch.ts
+++ b/packages/gateway/src/peers/watch.ts
@@ -22,7 +22,7 @@
   message: `peer ${peer.id}: ${reason}`,
 });
 
-/** Extracts the facts from a followed peer's response, or the reason why there are none. */
+/** Extracts the records from a followed peer's response, or the reason why there are none. */
 export const followedFacts = (
   peer: InstanceEntry,
   answer: ChangesResponse,
--- a/packages/gateway/src/requests/crashEvidence.ts
+++ b/packages/gateway/src/requests/crashEvidence.ts
@@ -10,7 +10,7 @@
 export const QUARANTINE_RETRY_AFTER_MS = 30_000;
 /** How long a retry of a suspected request waits for the crash check, ms: the round trip between any two regions, with a margin for a busy instance. */
 const CRASH_CHECK_TIMEOUT_MS = 100;
-/** Number of crashes attributed to a request from which a response to it is reported: after one more crash without a response, all instances would quarantine it. */
+/** A response to a request is reported once this many crashes are attributed to the request: one more crash without a response would quarantine it at all instances. */
 const MIN_CRASHES_TO_REPORT_RESPONSE = MIN_CRASHES_PER_CAUSE - 1;
 
 /** Checks whether the target crashed; never rejects. */
--- a/packages/gateway/src/requests/targetHealth.ts
+++ b/packages/gateway/src/requests/targetHealth.ts
@@ -23,7 +23,7 @@
   likelyCached: boolean;
   /** Estimated number of requests in progress at the target. */
   busy: number;
-  /** True if, when the send ended, a send to the target was overdue and the target had not responded since that one started. */
+  /** True if the target was unresponsive when the send ended (see `UnansweredSends.isUnresponsive`). */
   silent?: boolean;
 }
 
--- a/packages/gateway/src/server/__tests__/directory.test.ts
+++ b/packages/gateway/src/server/__tests__/directory.test.ts
@@ -1,4 +1,4 @@
-/** Tests of the instances that the directory advertises: the strong machines, if they have enough capacity. */
+/** Tests of the instances that the directory advertises: the high-capacity ones, if they have enough capacity. */
 import { describe, expect, it } from 'vitest';
 import type { InstanceEntry } from '@cardamomladder/fleet';
 import { failureDomainName, instanceId, regionName, socketAddress } from '@cardamomladder/types';
@@ -23,7 +23,7 @@
 const idsOf = (group: readonly InstanceEntry[]) => group.map(({ id }) => id as string);
 
 describe('instances advertised to callers', () => {
-  it('are the strong ones of a failure domain with many weak ones', () => {
+  it('are the high-capacity ones of a failure domain with many low-capacity ones', () => {
     // Guards against slow downloads without any faults: when all instances were
     // advertised alike, callers chose one at random, and six of seven were
     // machines with a 10 Mbit/s link.
@@ -36,14 +36,14 @@
     expect(highCapacityInstances(group)).toEqual(group);
   });
 
-  it('are all instances if the strong ones have too little capacity', () => {
+  it('are all instances if the high-capacity ones have too little capacity', () => {
     const oneLeft = [...several(1, 1.35, 200, 'strong'), ...several(2, 0.27, 10, 'weak')];
     expect(highCapacityInstances(oneLeft)).toEqual(oneLeft);
     const outnumbered = [...several(2, 1.35, 200, 'strong'), ...several(30, 0.27, 10, 'weak')];
     expect(highCapacityInstances(outnumbered)).toEqual(outnumbered);
   });
 
-  it('are compared only within the selected group, not with strong machines of other failure domains', () => {
+  it('are compared only within the selected group, not with high-capacity instances of other failure domains', () => {
     const here = [machine('a', 0.27, 10), machine('b', 0.27, 10)];
     const elsewhere = [machine('c', 1.35, 200, 'north-b'), machine('d', 1.35, 200, 'north-b')];
     const question = { region: 'north', failureDomain: 'north-a' };
--- a/packages/gateway/src/server/callerServer.ts
+++ b/packages/gateway/src/server/callerServer.ts
@@ -34,7 +34,7 @@
 
 /** Maximum size of a request head that Node parses; the lower limit from the configuration is checked separately. */
 const MAX_HEAD_BYTES = 64 * 1024;
-/** Retry delay for callers before the first configuration is loaded, ms: a new instance has its facts within 0.1 to 0.3 s. */
+/** Retry delay for callers before the first configuration is loaded, ms: a new instance has its records within 0.1 to 0.3 s. */
 const NO_CONFIGURATION_RETRY_MS = 200;
 /** Retry delay for callers that no region may serve, ms: only a new configuration changes that. */
 const NO_REGION_RETRY_MS = 5000;
@@ -50,7 +50,7 @@
   quotas: Pick<Quotas, 'admit' | 'refund' | 'describe'>;
 }
 
-/** The server and its connections, which a planned shutdown observes. */
+/** The server and its connections, which a graceful shutdown observes. */
 export interface CallerServer {
   server: Server;
   connections: CallerConnections;
--- a/packages/gateway/src/server/directory.ts
+++ b/packages/gateway/src/server/directory.ts
@@ -1,15 +1,16 @@
 /**
  * Selects the instances that the directory advertises to a caller: those of its
  * failure domain, or of its region if the domain has none, or else all; of
- * these, only the strong ones. Candidates are instances with a current registry
- * entry, peers that were seen directly, and this instance while it serves.
+ * these, only the high-capacity ones. Candidates are instances with a current
+ * registry entry, peers that were seen directly, and this instance while it
+ * serves.
  *
- * Weak instances are left out because of failure domains with two strong
- * machines and a dozen weak ones. Callers choose an address at random, so a weak
- * machine would receive as many requests as a strong one, and a 90 kB response
- * takes 72 ms on its 10 Mbit/s link. Also, if requests are spread over many
- * instances, each one receives too few responses from a target to estimate its
- * load and response time.
+ * Low-capacity instances are left out because of failure domains with two
+ * high-capacity instances and a dozen low-capacity ones. Callers choose an address
+ * at random, so a low-capacity instance would receive as many requests as a
+ * high-capacity one, and a 90 kB response takes 72 ms on its 10 Mbit/s link. Also,
+ * if requests are spread over many instances, each one receives too few responses
+ * from a target to estimate its load and response time.
  */
 import type { InstanceEntry } from '@cardamomladder/fleet';
 import { highCapacityInstances } from '@cardamomladder/fleet';
--- a/packages/gateway/src/targets/registry.ts
+++ b/packages/gateway/src/targets/registry.ts
@@ -1,7 +1,7 @@
 /**
  * The targets that this instance may send to: their registry entries, the state
  * derived from their responses, and their connections. Follows the changes of
- * the known facts.
+ * the known records.
  */
 import type { ClusterState, ClusterStateChange, TargetEntry } from '@cardamomladder/fleet';
 import type { Configuration, Service } from '@cardamomladder/routing';
--- a/packages/gateway/src/wireProtocol.ts
+++ b/packages/gateway/src/wireProtocol.ts
@@ -37,7 +37,7 @@
 /** Status that a target reports about itself in a response. */
 export interface TargetStatement {
   load?: LoadReport;
-  /** Requests per second that it accepts from all instances together; unset if it declares no limit. */
+  /** Requests per second that it accepts from all instances together; unset if it advertises no limit. */
   limitPerSecond?: number;
   leaving?: boolean;
   /** For how long this instance should send it no requests, in ms; only present in rejections. */
--- a/packages/load/src/__tests__/limitedTargets.test.ts
+++ b/packages/load/src/__tests__/limitedTargets.test.ts
@@ -1,4 +1,4 @@
-/** Lookups while some targets are overloaded and signal a rate limit, simulated in virtual time. */
+/** Lookups while some targets are overloaded and advertise a rate limit, simulated in virtual time. */
 import { describe, expect, it } from 'vitest';
 import { maxInWindow, simulateLoad } from '..';
 import { LOOKUPS, SLOTS, isAffected } from '../__fixtures__/lookups';
@@ -10,7 +10,7 @@
 const LIMIT = 2;
 const TOLERATED = LIMIT * (WINDOW_MS / 1000) * 1.5 + 5;
 
-/** Uses half of the slots of 18 targets; a share of the targets works with one slot and signals a limit for ten seconds. */
+/** Uses half of the slots of 18 targets; a share of the targets works with one slot and advertises a limit for ten seconds. */
 const lookups = (
   seed: number,
   share: number,
@@ -43,7 +43,7 @@
   return { report, maxArrivals };
 };
 
-describe('while targets signal a rate limit', () => {
+describe('while targets advertise a rate limit', () => {
   it.each([
     [1 / 6, 3],
     [1 / 3, 3],
@@ -63,7 +63,7 @@
     },
   );
 
-  it('honouring limits changes nothing when no target signals one', () => {
+  it('honouring limits changes nothing when no target advertises one', () => {
     const ignoring = lookups(2, 0, 3, false);
     const honoring = lookups(2, 0, 3, true);
     expect(honoring.report).toEqual(ignoring.report);
--- a/packages/load/src/simulation/loadSimulation.ts
+++ b/packages/load/src/simulation/loadSimulation.ts
@@ -80,7 +80,7 @@
   return () => uniformFloat64(generator);
 };
 
-/** Applies the limit and the pause that a target signals in a response. */
+/** Applies the limit and the pause that a target advertises in a response. */
 const applyTargetSignals = (
   { selfReport }: TargetState,
   heard: LimitObservation,
--- a/packages/load/src/simulation/simulatedTarget.ts
+++ b/packages/load/src/simulation/simulatedTarget.ts
@@ -34,7 +34,7 @@
   /** Slots currently available; fewer than configured while the target is overloaded. */
   availableSlots: number;
 
-  /** Rate limit that an overloaded target signals, in requests per second. */
+  /** Rate limit that an overloaded target advertises, in requests per second. */
   limitPerSecond: number | undefined;
 
   /** If set, the target rejects all requests and asks the instance to send none for this long, ms. */
--- a/packages/soak/src/__tests__/targetSignals.test.ts
+++ b/packages/soak/src/__tests__/targetSignals.test.ts
@@ -63,7 +63,7 @@
   });
 });
 
-describe('a limit that a target announces', () => {
+describe('a limit that a target advertises', () => {
   /** Sends `perSecond` requests a second for 8 s; the instance receives a limit of 2 at 100 ms. */
   const simulate = (perSecond: number, { checker }: ReturnType<typeof setUp>) => {
     const end = checker.announceLimit(TARGET, 2, 0);
--- a/packages/soak/src/guarantees.ts
+++ b/packages/soak/src/guarantees.ts
@@ -251,7 +251,7 @@
       );
     // An instance that is closing doesn't forward a request that arrives
     // meanwhile; one forwarded to a healthy target must be answered, also
-    // during a planned stop.
+    // during a graceful shutdown.
     const unaffected = this.faultHistory.unaffected(
       [request.instance, run.target],
       request.at,
--- a/packages/soak/src/targetSignals.ts
+++ b/packages/soak/src/targetSignals.ts
@@ -20,14 +20,14 @@
   to: number;
 }
 
-/** A rate limit that a target announces for a while, in requests per second. */
+/** A rate limit that a target advertises for a while, in requests per second. */
 interface AnnouncedLimit {
   perSecond: number;
   from: number;
   to: number;
 }
 
-/** A limit is enforced this long after its announcement starts, ms. */
+/** A limit is enforced this long after it is first advertised, ms. */
 const LIMIT_GRACE_MS = 3000;
 /** An instance's requests count from this long after it received the limit, ms. */
 const INSTANCE_REACTION_MS = 500;
@@ -76,7 +76,7 @@
     private readonly report: (guarantee: string, subject: string, detail: string) => void,
   ) {}
 
-  /** Records that a target announces a limit; returns a function that records the end. */
+  /** Records that a target advertises a limit; returns a function that records the end. */
   announceLimit(target: string, perSecond: number, at: number): (endedAt: number) => void {
     const announced = { perSecond, from: at, to: Infinity };
     this.limits.set(target, [...(this.limits.get(target) ?? []), announced]);
--- a/packages/steering/src/headroom.ts
+++ b/packages/steering/src/headroom.ts
@@ -7,7 +7,7 @@
  * the entry moves work away from a target whose load it cannot observe.
  */
 
-/** A target's most recent load report: busy slots at `at` (ms since the epoch). */
+/** A target's most recent load report: busy slots at `at` (Unix time, ms). */
 export interface LoadReport {
   inflight: number;
   at: number;
--- a/packages/steering/src/placement/__tests__/limitShare.test.ts
+++ b/packages/steering/src/placement/__tests__/limitShare.test.ts
@@ -8,7 +8,7 @@
 const WINDOW_MS = 4000;
 const STEP_MS = 5;
 const DURATION_MS = 30_000;
-/** A limit is enforced from this time after it was first advertised, in milliseconds. */
+/** A limit is enforced from this time after it was first advertised, ms. */
 const SETTLE_MS = 3000;
 const tolerated = (perSecond: number) => perSecond * 4 * 1.5 + 5;
 const idsOf = (size: number) => Array.from({ length: size }, (_, i) => instanceId(`i-${i}`));
--- a/packages/steering/src/placement/advertisedLimit.ts
+++ b/packages/steering/src/placement/advertisedLimit.ts
@@ -6,7 +6,7 @@
 import type { LimitShare } from './limitShare';
 import { SlidingWindowCounter } from './slidingWindowCounter';
 
-/** Window over which sends are counted, in milliseconds. */
+/** Window over which sends are counted, ms. */
 const SEND_WINDOW_MS = 4000;
 
 /**
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Returns how long a request has to wait under this instance's share, in
-   * milliseconds; 0 if it may be sent now.
+   * Returns how long a request has to wait under this instance's share, ms;
+   * 0 if it may be sent now.
    */
   waitMs({ intervalMs, phase }: LimitShare, now: number): number {
     if (this.current === undefined) return 0;
--- a/packages/steering/src/placement/candidates.ts
+++ b/packages/steering/src/placement/candidates.ts
@@ -118,7 +118,7 @@
 
 /**
  * Returns the shortest time until a target that asked for a pause accepts requests
- * again, in milliseconds; undefined if none asked for one.
+ * again, ms; undefined if none asked for one.
  */
 export const shortestPauseMs = (
   request: PlacementRequest,
--- a/packages/steering/src/placement/crossRegionSpillover.ts
+++ b/packages/steering/src/placement/crossRegionSpillover.ts
@@ -18,7 +18,7 @@
  * relieved at once.
  */
 const UNRAMPED_FRACTION = 0.04;
-/** Time constant of the moving average of demand, in milliseconds. */
+/** Time constant of the moving average of demand, ms. */
 const DEMAND_WINDOW_MS = 1000;
 /**
  * Credit from which a request spills over although its region has capacity: one that
--- a/packages/steering/src/placement/describeTargets.ts
+++ b/packages/steering/src/placement/describeTargets.ts
@@ -18,7 +18,7 @@
   /** Estimated requests at the target, from its last report and own sends. */
   busy: number;
   slots: number;
-  /** Its typical response time for objects that it has cached, in milliseconds. */
+  /** Its typical response time for objects that it has cached, ms. */
   usualMs?: number;
   reportAgeMs?: number;
   /** Why the target was excluded, if it was. */
--- a/packages/steering/src/placement/limitShare.ts
+++ b/packages/steering/src/placement/limitShare.ts
@@ -44,7 +44,7 @@
 
 /** The pacing of one instance. */
 export interface LimitShare {
-  /** Interval between requests, in milliseconds. */
+  /** Interval between requests, ms. */
   intervalMs: number;
   /**
    * Fraction of the interval, from 0 to 1, that the first request is delayed by, to
--- a/packages/steering/src/placement/loadEstimate.ts
+++ b/packages/steering/src/placement/loadEstimate.ts
@@ -11,8 +11,8 @@
 import { MIN_REPORT_STALE_MS } from './reportStaleness';
 
 /**
- * A report counts in full up to this age, in milliseconds: a few response times at
- * typical rates.
+ * A report counts in full up to this age, ms: a few response times at typical
+ * rates.
  */
 export const REPORT_FRESH_MS = 700;
 
@@ -25,7 +25,7 @@
   otherRequests = 0;
 
   /**
-   * When the last report arrived, in milliseconds on the monotonic clock; undefined if
+   * When the last report arrived, ms on the monotonic clock; undefined if
    * none has.
    */
   reportedAt: number | undefined;
--- a/packages/steering/src/placement/peakResponseTime.ts
+++ b/packages/steering/src/placement/peakResponseTime.ts
@@ -26,14 +26,14 @@
  */
 const SMALL_SAMPLE_MARGIN = 10;
 /**
- * No request is overdue before this, in milliseconds: a few times the delay between any
- * two regions.
+ * No request is overdue before this, ms: a few times the delay between any two
+ * regions.
  */
 const MIN_OVERDUE_MS = 350;
 
 /**
- * Returns the time after which a request is overdue, in milliseconds; undefined before
- * the first response.
+ * Returns the time after which a request is overdue, ms; undefined before the first
+ * response.
  */
 export const overdueAfterMs = ({ ms, answers }: PeakEstimate): number | undefined =>
   answers === 0
@@ -41,7 +41,7 @@
     : Math.max(MIN_OVERDUE_MS, ms * (OVERDUE_FACTOR + SMALL_SAMPLE_MARGIN / answers));
 
 /**
- * Half-life of the estimate, in milliseconds: a burst of slow responses is forgotten
+ * Half-life of the estimate, ms: a burst of slow responses is forgotten
  * within a minute.
  */
 const HALF_LIFE_MS = 10_000;
--- a/packages/steering/src/placement/place.ts
+++ b/packages/steering/src/placement/place.ts
@@ -40,17 +40,17 @@
  * for other requests still accepts it.
  */
 const URGENT_EXTRA_PER_SLOT = 0.3;
-/** `retryAfterMs` of a rejection when targets exist, in milliseconds: about one service time. */
+/** `retryAfterMs` of a rejection when targets exist, ms: about one service time. */
 export const FULL_RETRY_AFTER_MS = 250;
 /**
- * `retryAfterMs` when the service has no target, in milliseconds: the registry needs
- * about this long to change.
+ * `retryAfterMs` when the service has no target, ms: the registry needs about
+ * this long to change.
  */
 export const NO_TARGET_RETRY_AFTER_MS = 500;
 
 /**
- * Minimum `retryAfterMs` when targets ask for a pause, in milliseconds: about one
- * round trip between regions.
+ * Minimum `retryAfterMs` when targets ask for a pause, ms: about one round trip
+ * between regions.
  */
 const MIN_RETRY_AFTER_MS = 50;
 
--- a/packages/steering/src/placement/pool.ts
+++ b/packages/steering/src/placement/pool.ts
@@ -57,8 +57,8 @@
   !target.leaving && !target.selfReport.leaving && !pool.evacuated(target.failureDomain);
 
 /**
- * Returns how long a pause or limit that the target asked for delays a request, in
- * milliseconds; 0 if it may be sent now.
+ * Returns how long a pause or limit that the target asked for delays a request, ms;
+ * 0 if it may be sent now.
  */
 export const pauseMs = (target: TargetState, pool: ServicePool, now: number): number => {
   const { limit, pausedUntil } = target.selfReport;
--- a/packages/steering/src/placement/queueLimit.ts
+++ b/packages/steering/src/placement/queueLimit.ts
@@ -1,10 +1,11 @@
 /**
  * Limits how many requests a target may have, running or waiting.
  *
- * At peaks some targets are full for short moments. A rejected request comes back a
- * quarter of a second later or not at all, while one that waits in a short queue is
- * still answered in time. A request that waits longer than its objective allows is
- * late, and so is each one behind it.
+ * At peaks, all slots of some targets are in use for short moments. A short queue lets
+ * requests that arrive then still meet their objective; a rejected request is retried a
+ * quarter of a second later or not at all. The limit keeps the queue short enough that
+ * the last request meets its objective too: in a longer queue, it and each request
+ * behind it would be late.
  */
 
 /**
--- a/packages/steering/src/placement/reportStaleness.ts
+++ b/packages/steering/src/placement/reportStaleness.ts
@@ -12,18 +12,18 @@
  */
 import { SlidingWindowCounter } from './slidingWindowCounter';
 
-/** Minimum validity of a report, in milliseconds. */
+/** Minimum validity of a report, ms. */
 export const MIN_REPORT_STALE_MS = 2500;
-/** Maximum validity of a report, in milliseconds: loads change in waves of half a minute. */
+/** Maximum validity of a report, ms: loads change in waves of half a minute. */
 const MAX_REPORT_STALE_MS = 15_000;
 /**
  * A report is valid for this many mean report intervals, so the next one usually
  * arrives in time.
  */
 const STALE_AFTER_INTERVALS = 2;
-/** Window over which the report rate is measured, in milliseconds. */
+/** Window over which the report rate is measured, ms. */
 const RATE_WINDOW_MS = 10_000;
-/** How long a computed validity is reused, in milliseconds. */
+/** How long a computed validity is reused, ms. */
 const RECOMPUTE_INTERVAL_MS = 500;
 
 /** How long load reports of one service's targets stay valid at this instance. */
@@ -42,7 +42,7 @@
     this.reports.add(now);
   }
 
-  /** Returns the age from which a report is ignored, in milliseconds. */
+  /** Returns the age from which a report is ignored, ms. */
   at(now: number): number {
     if (now - this.computedAt < RECOMPUTE_INTERVAL_MS) return this.staleMs;
     this.computedAt = now;
--- a/packages/steering/src/placement/target.ts
+++ b/packages/steering/src/placement/target.ts
@@ -28,7 +28,7 @@
 export interface SelfReport {
   /** The target is leaving and gets no new work, whatever its registry entry says. */
   leaving: boolean;
-  /** The target accepts no requests from this instance until then, in milliseconds. */
+  /** The target accepts no requests from this instance until then, ms. */
   pausedUntil: number;
   /** The limit that the target advertises, if any. */
   limit: AdvertisedLimit;
@@ -58,8 +58,8 @@
   coldSends: SlidingWindowCounter;
   selfReport: SelfReport;
   /**
-   * Smoothed time from send to response for objects that it has cached, in
-   * milliseconds; undefined before the first such response.
+   * Smoothed time from send to response for objects that it has cached, ms;
+   * undefined before the first such response.
    */
   responseMs?: number;
 }
@@ -75,9 +75,8 @@
 
 /**
  * Records the time of a response to a request for an object that the target has
- * cached, in milliseconds. `inFlight` is the number of requests the target had when
- * this one was sent: the time spent queueing behind them is not a property of the
- * target.
+ * cached, ms. `inFlight` is the number of requests the target had when this one was
+ * sent: the time spent queueing behind them is not a property of the target.
  */
 export const updateResponseMs = (target: TargetState, ms: number, inFlight: number): void => {
   const serviceMs = ms / Math.max(1, (inFlight + 1) / target.slots);
--- a/packages/steering/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/steering/src/quarantine/__tests__/quarantine.test.ts
@@ -70,9 +70,9 @@
   });
 
   it('does not block requests that many callers make and targets keep answering', () => {
-    // Guards against rejecting the list that all kiosks show for minutes: three
-    // targets lose power at once while each works on that list for some kiosk, and
-    // only the crashes are counted, not the answers of other targets.
+    // Guards against rejecting, for minutes, a request that many callers make: three
+    // targets lose power at once while each works on it for some caller, and only
+    // the crashes are counted, not the answers of other targets.
     const quarantine = new Quarantine(() => 0);
     const popular = requestDigest('popular');
     ['c', 'd', 'e'].forEach((caller, i) =>
--- a/packages/steering/src/quarantine/quarantine.ts
+++ b/packages/steering/src/quarantine/quarantine.ts
@@ -3,11 +3,11 @@
  *
  * Without it, such a request is repeated by the instance and by its caller, at any
  * instance. Each attempt looks new, so each one crashes another target together with
- * all of its other work. The symptom is that targets of one service crash and restart
- * by the dozen while the bound on repeats is kept. The quarantine combines the crashes
- * reported by all instances. What is blocked depends on the reports alone, so
- * instances with the same reports block the same requests, and a restarted instance
- * learns them together with its other facts.
+ * all of its other work: dozens of targets of one service crash and restart although
+ * the bound on repeats is kept. The quarantine combines the crashes reported by all
+ * instances. What is blocked depends on the reports alone, so instances with the same
+ * reports block the same requests, and a restarted instance learns them together with
+ * its other records.
  */
 import { Subject } from 'rxjs';
 import type { IssuedRequest, CrashReport, StorePosition, TargetRun } from '@cardamomladder/types';
@@ -25,13 +25,13 @@
 }
 
 interface StoredReport extends OrderedReport {
-  /** When this instance received it, in milliseconds on the monotonic clock. */
+  /** When this instance received it, ms on the monotonic clock. */
   receivedAt: number;
 }
 
 /**
- * How long a request is blocked whose crashes another request may explain, in
- * milliseconds after the last of them. Until then it is not known which of them is the
+ * How long a request is blocked whose crashes another request may explain, ms after
+ * the last of them. Until then it is not known which of them is the
  * cause, and letting both through crashes targets faster than they restart. A caller
  * that is blocked wrongly has already failed three times by then. A polling caller
  * misses a few polls; a request released wrongly crashes one or two targets before it
@@ -64,8 +64,8 @@
   private known = NO_CRASHES;
 
   /**
-   * When this instance learned of the last crash under each suspect, in milliseconds
-   * on the monotonic clock.
+   * When this instance learned of the last crash under each suspect, ms on the
+   * monotonic clock.
    */
   private lastCrashAt = new Map<Suspect, number>();
 
--- a/packages/steering/src/quarantine/recentAnswers.ts
+++ b/packages/steering/src/quarantine/recentAnswers.ts
@@ -1,8 +1,8 @@
 /**
  * Tracks the requests that targets answered recently, for any caller. A request that
- * many callers make, such as the list of open visits, is in flight at most targets at
- * any moment. When several targets crash at once for another cause, it was in flight
- * each time and would be blamed if it were not known to be answered every second.
+ * many callers make is in flight at most targets at any moment. When several targets
+ * crash at once for another cause, it was in flight each time and would be blamed if it
+ * were not known to be answered every second.
  */
 import { LRUCache } from 'lru-cache';
 import type { RequestDigest } from '@cardamomladder/types';
@@ -13,9 +13,8 @@
  */
 const MAX_ANSWERS = 2000;
 /**
- * How long an answer counts, in milliseconds: requests that many callers make are
- * answered far more often, and a request that starts to crash targets is suspected
- * soon after.
+ * How long an answer counts, ms: requests that many callers make are answered far more
+ * often, and a request that starts to crash targets is suspected soon after.
  */
 const ANSWER_TTL_MS = 10_000;
 
--- a/packages/steering/src/service.ts
+++ b/packages/steering/src/service.ts
@@ -20,9 +20,9 @@
   slots: number;
   /** The member list or the target itself reported that it is shutting down. */
   leaving: boolean;
-  /** When this entry discovered the target, in ms since the epoch: the start of its warm-up. */
+  /** When this entry discovered the target (Unix time, ms): the start of its warm-up. */
   firstSeen: number;
-  /** Not eligible before this time (ms since the epoch), after a failed connection or an attempt without a response. */
+  /** Not eligible before this time (Unix time, ms), after a failed connection or an attempt without a response. */
   avoidUntil: number;
   load: TargetLoad;
 }
--- a/packages/types/src/ids.ts
+++ b/packages/types/src/ids.ts
@@ -89,7 +89,7 @@
 export const requestDigest = (value: string): RequestDigest => value as RequestDigest;
 /** Tags a plain string as a caller digest without validating it. */
 export const callerDigest = (value: string): CallerDigest => value as CallerDigest;
-/** Identifies a run of a target by its start time (Unix ms). A target that does not report a start time has a new target id for each run. */
+/** Identifies a run of a target by its start time (Unix time, ms). A target that does not report a start time has a new target id for each run. */
 export const targetRun = (id: TargetId, startedAt: number | undefined): TargetRun =>
   `${id}@${startedAt ?? ''}` as TargetRun;
 /** Tags a plain string as a socket address without validating it. */
