--- a/packages/entry/src/server/errorResponse.ts
+++ b/packages/entry/src/server/errorResponse.ts
@@ -31,11 +31,11 @@
 
 /** Explanations for callers of why a request did not run. */
 export const notRunMessages: Record<NotRunReason, string> = {
-  draining: 'the target is shutting down',
-  shed: 'the target had no free slots',
+  draining: 'the target is leaving',
+  shed: 'the target was full',
   deadline: 'too little time was left',
   'connect-failed': 'no target could be reached',
   'no-target': 'no target is live for this service',
   'region-full': 'the region has no spare slots',
-  store: 'the platform KV is unreachable',
+  store: 'the platform is unreachable',
 };
--- a/packages/entry/src/server/routes.ts
+++ b/packages/entry/src/server/routes.ts
@@ -99,7 +99,7 @@
   if (!steering) {
     const cause =
       ctx.fleet.revision === 0
-        ? 'no configuration has been loaded yet'
+        ? 'no configuration is in force yet'
         : `service '${match[1]}' is not in the operators' document`;
     sendError(
       res,
@@ -134,7 +134,7 @@
         500,
         'unknown',
         'internal',
-        `internal error in the entry: ${error.message}; report this to the operators`,
+        `entry failed: ${error.message}; report this with the log line`,
       );
     })
     .finally(() => span.end());
--- a/packages/gateway/src/peers/server.ts
+++ b/packages/gateway/src/peers/server.ts
@@ -25,7 +25,7 @@
   if (name !== 'facts' && name !== 'changes') {
     throw new TRPCError({
       code: 'NOT_FOUND',
-      message: `no procedure ${name}; call facts, changes, reports or tokens`,
+      message: `no question ${name}; ask facts, changes, reports or tokens`,
     });
   }
   const input = JSON.parse(url.searchParams.get('input') ?? 'null') as never;
--- a/packages/http-json/src/server.ts
+++ b/packages/http-json/src/server.ts
@@ -35,12 +35,12 @@
 export const readJson = async (req: IncomingMessage, limit = MAX_JSON_BYTES): Promise<unknown> => {
   const body = await readBody(req, limit);
   if (body === 'too-large')
-    throw new BodyError(413, `request body exceeds ${limit} bytes; send a smaller one`);
+    throw new BodyError(413, `body is over ${limit} bytes; send a smaller one`);
   if (body.length === 0) return undefined;
   try {
     return JSON.parse(body.toString('utf8'));
   } catch {
-    throw new BodyError(400, 'request body is not JSON; send a JSON object');
+    throw new BodyError(400, 'body is not JSON; send a JSON object');
   }
 };
 
