--- a/packages/fleet/src/changeLog.ts
+++ b/packages/fleet/src/changeLog.ts
@@ -9,7 +9,7 @@
 import type { RecordChange, RecordChanges } from './records';
 
 /** Minimum log capacity, in changes: enough for replacing a fleet of 300 targets and instances within one peer request (700 ms). */
-const MIN_KEPT_CHANGES = 1024;
+const MIN_CAPACITY = 1024;
 
 /** Changes in store order; `advanced` emits after each addition. */
 export class ChangeLog {
@@ -27,7 +27,7 @@
   private changes: readonly RecordChange[] = [];
 
   /** Log capacity, in changes. Grows with the highest number of records seen, since all of them may be removed at once. */
-  private most = MIN_KEPT_CHANGES;
+  private capacity = MIN_CAPACITY;
 
   /**
    * `known` returns the current number of records. The log keeps at least that
@@ -57,8 +57,8 @@
     if (epoch !== this.epoch || after > this.revision) this.reset({ epoch, revision: after });
     if (revision <= this.revision) return;
     const all = [...this.changes, ...changes.filter((c) => c.revision > this.revision)];
-    this.most = Math.max(this.most, this.known());
-    const dropped = all.slice(0, Math.max(0, all.length - this.most)).at(-1);
+    this.capacity = Math.max(this.capacity, this.known());
+    const dropped = all.slice(0, Math.max(0, all.length - this.capacity)).at(-1);
     this.discardedUpTo = dropped?.revision ?? this.discardedUpTo;
     this.changes = all.filter((change) => change.revision > this.discardedUpTo);
     this.revision = revision;
--- a/packages/fleet/src/deferredRemovals.ts
+++ b/packages/fleet/src/deferredRemovals.ts
@@ -15,7 +15,7 @@
 
 /** Removals that have not been applied yet. Times are monotonic, ms. */
 export class DeferredRemovals {
-  private readonly held = new Map<string, RecordChange>();
+  private readonly deferred = new Map<string, RecordChange>();
 
   /** Records that the store lost, in the last state in which it had them. */
   private readonly lost = new Map<string, StoreRecord>();
@@ -43,7 +43,7 @@
 
   /** Adds a deferred removal. */
   add(removal: RecordChange): void {
-    this.held.set(removal.key, removal);
+    this.deferred.set(removal.key, removal);
   }
 
   /** Remembers the last state of a record that the store lost. */
@@ -53,18 +53,18 @@
 
   /** Discards the deferred removal of a key, because the record exists again or its removal has been applied. */
   resolve(key: string): void {
-    this.held.delete(key);
+    this.deferred.delete(key);
     this.lost.delete(key);
   }
 
   /** Whether the removal of a key is deferred. */
   has(key: string): boolean {
-    return this.held.has(key);
+    return this.deferred.has(key);
   }
 
   /** Discards all deferred removals; called when a list shows which records exist. */
   clear(): void {
-    this.held.clear();
+    this.deferred.clear();
   }
 
   private release(): void {
@@ -75,12 +75,12 @@
       this.releaseTimer = setTimeout(() => this.release(), leftMs);
       return;
     }
-    this.held.forEach((change, key) => {
+    this.deferred.forEach((change, key) => {
       this.clusterState.applyChange(change);
       const lost = this.lost.get(key);
       if (lost) this.clusterState.removed.set(key, lost);
     });
-    this.held.clear();
+    this.deferred.clear();
     this.lost.clear();
   }
 }
--- a/packages/fleet/src/records.ts
+++ b/packages/fleet/src/records.ts
@@ -78,7 +78,7 @@
   records: StoreRecord[];
   /** Records that the store lost; some may be written again later. */
   missing?: StoreRecord[];
-  /** Removed records that reappeared when the store was restored from an older copy. */
+  /** Removed records that reappeared when the store was restored from an older copy; see `UnconfirmedRecords`. */
   doubted?: StoreRecord[];
 }
 
--- a/packages/fleet/src/stateUpdater.ts
+++ b/packages/fleet/src/stateUpdater.ts
@@ -23,7 +23,7 @@
 export class StateUpdater {
   private readonly removals: DeferredRemovals;
 
-  private readonly doubted: UnconfirmedRecords;
+  private readonly unconfirmed: UnconfirmedRecords;
 
   constructor(
     private readonly clusterState: ClusterState,
@@ -32,7 +32,7 @@
     isStoreFollowed: () => boolean,
   ) {
     this.removals = new DeferredRemovals(clusterState, now, isStoreFollowed);
-    this.doubted = new UnconfirmedRecords(clusterState);
+    this.unconfirmed = new UnconfirmedRecords(clusterState);
   }
 
   /** Defers removals from now on; records still missing when the deferral ends are removed. */
@@ -67,7 +67,7 @@
     const { records, ...position } = this.clusterState.list();
     const isMissing = ({ key, revision }: StoreRecord) => revision === 0 || this.removals.has(key);
     const missing = records.filter(isMissing);
-    const doubted = this.doubted.list();
+    const doubted = this.unconfirmed.list();
     return {
       ...position,
       records: records.filter((record) => !isMissing(record)),
@@ -78,7 +78,7 @@
 
   private applyFirst(list: RecordList): void {
     this.clusterState.startEpoch(list);
-    this.applyDoubted(list);
+    this.applyUnconfirmed(list);
     list.records.forEach((record) => this.applyListed(record));
   }
 
@@ -86,8 +86,8 @@
   private applySameEpoch(list: RecordList): void {
     const { clusterState } = this;
     const { records, revision, missing = [] } = list;
-    this.doubted.retainOnly(new Set(records.map(({ key }) => key)));
-    this.applyDoubted(list);
+    this.unconfirmed.retainOnly(new Set(records.map(({ key }) => key)));
+    this.applyUnconfirmed(list);
     const heldByPeer = new Set(missing.map(({ key }) => key));
     // A record at revision 0 is already known to be missing, and its removal is deferred.
     const missingKeys = clusterState
@@ -107,8 +107,8 @@
   private applyRestored(list: RecordList): void {
     const { clusterState } = this;
     const followed = clusterState.position;
-    this.doubted.clear();
-    this.applyDoubted(list);
+    this.unconfirmed.clear();
+    this.applyUnconfirmed(list);
     const missing = clusterState.keysMissingFrom(list);
     clusterState.startEpoch(list);
     this.removals.clear();
@@ -126,7 +126,7 @@
     const freshness = freshnessOf(listed, current, clusterState.removed.get(key));
     if (freshness === 'new') clusterState.setRecord(listed);
     else if (current) clusterState.setRevision(key, revision);
-    else this.doubted.add(listed);
+    else this.unconfirmed.add(listed);
     return freshness;
   }
 
@@ -135,15 +135,16 @@
     const { clusterState } = this;
     const { key } = listed;
     const removed = clusterState.hasRecord(key) ? undefined : clusterState.removed.get(key);
-    if (removed && freshnessOf(listed, undefined, removed) === 'outdated') this.doubted.add(listed);
+    if (removed && freshnessOf(listed, undefined, removed) === 'outdated')
+      this.unconfirmed.add(listed);
     else this.applyChange(listed);
   }
 
   /** Applies a peer's information about records that were removed before the store was restored. */
-  private applyDoubted({ doubted = [] }: RecordList): void {
+  private applyUnconfirmed({ doubted = [] }: RecordList): void {
     doubted.forEach((record) => {
       this.clusterState.removeRecord(record.key, record.revision);
-      this.doubted.add(record);
+      this.unconfirmed.add(record);
     });
   }
 
@@ -170,7 +171,7 @@
   }
 
   private applyChange(change: RecordChange): void {
-    if (this.doubted.covers(change)) return;
+    if (this.unconfirmed.covers(change)) return;
     const isDeferrable = 'removed' in change && canExpire(this.clusterState.valueAt(change.key));
     if (isDeferrable && this.removals.isDeferring) {
       this.removals.add(change);
--- a/packages/fleet/src/storeConnectivity.ts
+++ b/packages/fleet/src/storeConnectivity.ts
@@ -12,7 +12,7 @@
 /** Minimum outage that may let entries expire, ms: the shortest registration TTL outlasts shorter ones. */
 const MIN_LAPSE_OUTAGE_MS = 900;
 /** Represents "never" in responses to peers, ms: JSON cannot encode `Infinity`, and the resulting `null` would be read as "just now". */
-const NEVER_ANSWERED_MS = Number.MAX_SAFE_INTEGER;
+const NEVER_RESPONDED_MS = Number.MAX_SAFE_INTEGER;
 
 /** Connection status of the store: whether it is reached, since when, and why. */
 export interface StoreStatus {
@@ -46,7 +46,7 @@
   private suspectedSince: number | undefined;
 
   /** When the store last responded to this instance directly. */
-  private lastAnswerAt: number | undefined;
+  private lastResponseAt: number | undefined;
 
   private peerQueries: Subscription | undefined;
 
@@ -80,9 +80,9 @@
 
   /** Time since the store last responded to this instance directly, ms. */
   get lastResponseAgeMs(): number {
-    return this.lastAnswerAt === undefined
-      ? NEVER_ANSWERED_MS
-      : this.options.now() - this.lastAnswerAt;
+    return this.lastResponseAt === undefined
+      ? NEVER_RESPONDED_MS
+      : this.options.now() - this.lastResponseAt;
   }
 
   /**
@@ -135,7 +135,7 @@
 
   /** Records that the store responded to this instance directly. */
   answered(): void {
-    this.lastAnswerAt = this.options.now();
+    this.lastResponseAt = this.options.now();
     this.markReachable();
   }
 
