--- a/packages/fleet/src/__tests__/snapshot.test.ts
+++ b/packages/fleet/src/__tests__/snapshot.test.ts
@@ -93,7 +93,7 @@
 });
 
 describe('a watch that failed', () => {
-  it('is repeated from the same revision: a list is needed only after the history was compacted', async () => {
+  it('is repeated from the same revision: a list is needed only if the history is no longer available', async () => {
     // Guards against every instance listing and decoding all entries after a
     // short outage: any failure used to trigger a list, although a watch from the
     // same revision misses no change.
@@ -102,7 +102,7 @@
     expect(calls.slice(0, 2)).toEqual(['watch after 9', 'watch after 9']);
   });
 
-  it('triggers a list if the history was compacted', async () => {
+  it('triggers a list if the history is no longer available', async () => {
     const gone: StoreFailure = { kind: 'history-gone', message: 'gone' };
     const { calls } = await recordStoreCalls(LIST, (call) => (call === 1 ? gone : undefined));
     expect(calls.slice(0, 2)).toEqual(['watch after 9', 'list']);
--- a/packages/fleet/src/crashReports.ts
+++ b/packages/fleet/src/crashReports.ts
@@ -29,7 +29,7 @@
 const BATCH_DELAY_MS = 100;
 /** Interval between two reports of an instance, ms per instance in the fleet: under continuous crashes all instances together use half of the store's write rate (400 per second). */
 const WRITE_INTERVAL_PER_INSTANCE_MS = 5;
-/** Minimum and maximum delay before a failed write is retried, ms. */
+/** Minimum and maximum delay before a failed write is retried, ms, before jitter. */
 const RETRY_MIN_DELAY_MS = 100;
 const RETRY_MAX_DELAY_MS = 2000;
 /** Maximum number of reports waiting to be written during an outage; beyond it the oldest are dropped. */
@@ -270,7 +270,8 @@
 
   private sweepExpired(): void {
     const { index } = this.options;
-    // The copy from which a store is restored is far more recent than the previous sweep.
+    // A copy from which the store is restored is far younger than the interval
+    // between two sweeps, so it lacks the reports that the previous sweep removed.
     this.removed.clear();
     const keys = index.olderThan(REPORT_RETENTION_MS);
     if (keys.length > 0) this.remove(keys);
--- a/packages/fleet/src/follower.ts
+++ b/packages/fleet/src/follower.ts
@@ -34,25 +34,25 @@
 import type { StoreStatus } from './storeConnectivity';
 import { StoreConnectivity } from './storeConnectivity';
 
-/** Wait time of one watch, ms: together with the grace period below the shortest time allowed to react to a leaving target. */
+/** Wait time of one watch, ms: together with the grace period below the shortest time allowed to stop using a leaving target. */
 export const WATCH_WAIT_MS = 1000;
 /** Delay after changes, ms, so that changes in quick succession are fetched in one call: without it, 40 targets that register within two seconds cost 40 calls. */
 const BATCH_DELAY_MS = 150;
-/** The same after changes from a relay, ms: a starting fleet makes hundreds of changes per second, and a relay serves dozens of followers. Together with the relay's own delay this is a quarter of the shortest time allowed to react to a leaving target. */
+/** The same after changes from a relay, ms: a starting fleet makes hundreds of changes per second, and a relay serves dozens of followers. Together with the relay's own delay this is a quarter of the shortest time allowed to stop using a leaving target. */
 const RELAY_BATCH_DELAY_MS = 300;
-/** Minimum and maximum delay before a failed call is retried, ms: a fleet of 200 that the store rejects makes at most 200 calls per second. */
+/** Minimum and maximum delay between retries of a failed call, ms, before jitter; the first retry is immediate. A fleet of 200 that the store rejects makes at most 200 calls per second. */
 const RETRY_MIN_DELAY_MS = 60;
 const RETRY_MAX_DELAY_MS = 1000;
 /** Maximum retry delay while a peer reaches the store and forwards its records, ms: only the direct connection to the store is missing. */
 const RETRY_MAX_DELAY_WITH_PEER_MS = 2000;
 /** How long a new instance waits for a peer's snapshot before it also lists from the store, ms: a round trip to any region plus the time to pack. After a power loss of the whole fleet the peer may be down; waiting for it alone delayed serving on the high-capacity instances by 0.8 s. */
 const SNAPSHOT_HEAD_START_MS = 100;
-/** Wait time of a request to a relay, ms: together with its response time (300 ms) and one store call it stays below the shortest time allowed to react to a leaving target. */
+/** Wait time of a request to a relay, ms: together with its response time (300 ms) and one store call it stays below the shortest time allowed to stop using a leaving target. */
 const RELAY_WAIT_MS = 700;
 /** How long a failed relay is avoided, ms: by then the entry of a killed instance has expired. */
 const RELAY_BACKOFF_MS = 3000;
 
-/** Follower events for the log: a full list, applied or not, or a compacted history; with the position followed so far. */
+/** Follower events for the log: a full list, applied or not, or a history that is no longer available; with the position followed so far. */
 export type FollowerEvent =
   | ({ event: 'listed'; followed: StorePosition; taken: boolean } & StorePosition)
   | { event: 'history gone'; followed: StorePosition };
@@ -173,8 +173,8 @@
   };
   const stepWatch = async (): Promise<StoreFailure | undefined> => {
     const after = clusterState.revision;
-    // While the store may be unavailable, the call does not wait, so that a
-    // failure is detected a second earlier.
+    // While the store may be unavailable, the call does not wait, so that it is
+    // known a second earlier whether the store responds.
     const watched = await store.watch(after, connectivity.isHealthy ? WATCH_WAIT_MS : 0);
     if (watched.isErr()) return watched.error;
     connectivity.answered();
@@ -224,11 +224,11 @@
   });
   const backOff = (ms: number): Promise<unknown> => firstValueFrom(race(wakeUps, timer(ms)));
 
-  /** Number of consecutive watches whose history was compacted. */
+  /** Number of consecutive watches that failed because the history was no longer available. */
   let historyLosses = 0;
   const handleFailure = (failure: StoreFailure): void => {
     // An interrupted watch is repeated from the same revision, so no change is
-    // missed; the store reports if its history has been compacted.
+    // missed; the store reports if the history since then is no longer available.
     if (failure.kind !== 'history-gone') {
       connectivity.lost(failure);
       return;
@@ -244,7 +244,7 @@
       const isWatch = !listNext;
       const failure = await step();
       if (!failure) {
-        // Only a watch resets the counters: after a list, the next watch may still find its history compacted.
+        // Only a watch resets the counters: after a list, the next watch may fail the same way again.
         if (isWatch) {
           retryMs = 0;
           historyLosses = 0;
