--- a/packages/launcher/src/codeCache.ts
+++ b/packages/launcher/src/codeCache.ts
@@ -13,7 +13,7 @@
 import { dirname } from 'node:path';
 import { Script } from 'node:vm';
 
-/** Whether the cache was used. `rejected`: written by another Node.js version or with other flags. */
+/** Whether the cache was used. `rejected`: corrupt, or written by another Node.js version, with other flags or for a source of another length. */
 export type CacheStatus = 'used' | 'rejected' | 'missing';
 
 /** A program that is compiled but not yet run. */
--- a/packages/settings/src/entrySettingsSchema.ts
+++ b/packages/settings/src/entrySettingsSchema.ts
@@ -1,7 +1,7 @@
 /**
  * Settings of an entry daemon, read from a JSON file at startup. This schema is
  * the only place where defaults are defined, and the only source of a process's
- * listen address and failure domain.
+ * addresses and failure domain.
  */
 import { z } from 'zod';
 
