--- a/packages/customers/src/quota/__fixtures__/quotaSimulation.ts
+++ b/packages/customers/src/quota/__fixtures__/quotaSimulation.ts
@@ -72,11 +72,11 @@
   longestWaitMs: number;
 }
 
-const peakWindowRatioOf = (taken: readonly number[], limit: RateLimit): number => {
+const peakWindowRatioOf = (admittedAt: readonly number[], limit: RateLimit): number => {
   const seconds = TOLERANCE.windowMs / MS_PER_SECOND;
   const maxTolerated =
     (limit.perSecond * seconds + limit.burst) * (1 + TOLERANCE.overage) + TOLERANCE.slack;
-  return maxInWindow(taken, TOLERANCE.windowMs) / maxTolerated;
+  return maxInWindow(admittedAt, TOLERANCE.windowMs) / maxTolerated;
 };
 
 /** Runs a scenario with the sharing strategy that `build` creates. */
@@ -112,7 +112,7 @@
   const strategy = build(fleet);
   // Reference: a single bucket shared by all instances without delay.
   const ideal = new TokenBucket(limit, 0);
-  const taken: number[] = [];
+  const admittedAt: number[] = [];
   let withinLimit = 0;
   let rejected = 0;
   let longestWaitMs = 0;
@@ -122,7 +122,7 @@
     const arrivedAt = now;
     if (isCounted) withinLimit += 1;
     strategy.admit(id, (isAdmitted) => {
-      if (isAdmitted) taken.push(now);
+      if (isAdmitted) admittedAt.push(now);
       if (isAdmitted) longestWaitMs = Math.max(longestWaitMs, now - arrivedAt);
       if (isCounted && !isAdmitted) rejected += 1;
     });
@@ -150,7 +150,7 @@
   };
   for (; now < scenario.seconds * MS_PER_SECOND; now += STEP_MS) step();
   return {
-    peakWindowRatio: peakWindowRatioOf(taken, limit),
+    peakWindowRatio: peakWindowRatioOf(admittedAt, limit),
     rejectedWithinLimit: withinLimit === 0 ? 0 : rejected / withinLimit,
     messagesPerSecond: messages / scenario.seconds,
     longestWaitMs,
--- a/packages/customers/src/quota/__tests__/quota.test.ts
+++ b/packages/customers/src/quota/__tests__/quota.test.ts
@@ -194,7 +194,7 @@
     });
 
     it('is rejected immediately while the lender has no tokens or does not respond', () => {
-      // Guards against waiting requests that are known to be over the limit.
+      // Guards against requests that wait although they are known to be over the limit.
       const { quota, decided, request } = setUp();
       request(0);
       quota.need(0);
--- a/packages/customers/src/quota/lender.ts
+++ b/packages/customers/src/quota/lender.ts
@@ -1,7 +1,7 @@
 /**
  * The token pools of the customers for which this instance is the lender.
  *
- * Lenders are not chosen by consensus: instances with different views of the
+ * Lenders are not selected by consensus: instances with different views of the
  * fleet may use two lenders for one customer, one on each side of a network
  * partition. A lender therefore lends only the fraction of a limit that
  * corresponds to the fraction of the fleet in contact with it. An instance asks
--- a/packages/customers/src/quota/lenderSelection.ts
+++ b/packages/customers/src/quota/lenderSelection.ts
@@ -1,8 +1,8 @@
 /**
  * Selects the lenders and, by rendezvous hashing, the lender of each customer.
  * All instances with the same view of the fleet select the same ones. The
- * selection depends on instance ids alone, so it survives a restart of the
- * whole fleet.
+ * selection depends only on the ids and regions of the instances, so it
+ * survives a restart of the whole fleet.
  */
 import murmurhash from 'murmurhash';
 import type { CustomerName, InstanceId, RegionName } from '@cardamomladder/types';
--- a/packages/customers/src/quota/localQuota.ts
+++ b/packages/customers/src/quota/localQuota.ts
@@ -34,7 +34,7 @@
 const INITIAL_RETRY_AFTER_MS = 300;
 const MS_PER_SECOND = 1000;
 
-/** Token request of an instance for one customer. */
+/** One customer's entry in a token request: what the instance holds, returns and needs. */
 export interface TokenNeed {
   /** Lent tokens that the instance still holds. */
   stock: number;
@@ -170,7 +170,7 @@
     return this.stock < 1 && now - this.lastAskedAt >= MIN_ASK_INTERVAL_MS;
   }
 
-  /** Builds the next token request; undefined while there is nothing to request or report. */
+  /** Builds the customer's entry for the next token request; undefined while there is nothing to request or report. */
   need(now: number): TokenNeed | undefined {
     // The response to the last token request may still be in transit.
     if (now - this.lastAskedAt < MIN_ASK_INTERVAL_MS) return undefined;
--- a/packages/customers/src/quota/localQuotas.ts
+++ b/packages/customers/src/quota/localQuotas.ts
@@ -62,7 +62,7 @@
     return entry.quota;
   }
 
-  /** Builds the pending token requests by customer. */
+  /** Builds the entries for the next token requests, by customer. */
   needs(): Map<CustomerName, TokenNeed> {
     const needs = new Map<CustomerName, TokenNeed>();
     this.entries.forEach(({ quota }, name) => {
--- a/packages/customers/src/quota/tokenPool.ts
+++ b/packages/customers/src/quota/tokenPool.ts
@@ -13,11 +13,11 @@
 import type { QuotaParts } from './quotaParts';
 import { TokenBucket } from './tokenBucket';
 
-/** Time after a borrower's last request for which its tokens count as held, ms; by then it has expired them. */
+/** Time after a borrower's last token request for which its tokens count as held, ms; by then it has expired them. */
 const HELD_EXPIRY_MS = STOCK_EXPIRY_MS + 1000;
-/** Time for which a borrower's demand counts, ms; a borrower with demand makes requests more often than this. */
+/** Time for which a borrower's demand counts, ms; a borrower with demand sends token requests more often than this. */
 const DEMAND_EXPIRY_MS = 2500;
-/** Fraction of the tokens lent to the current borrowers; the rest is for callers that move to another instance. */
+/** Fraction of the tokens lent to the current borrowers; the rest is for callers that arrive at another instance. */
 const LENT_FRACTION = 0.85;
 /** Maximum fraction of the available tokens lent per response, to leave some for borrowers not yet known. */
 const MAX_FRACTION_PER_RESPONSE = 1 / 3;
