--- a/packages/gateway/src/quota/tokenRounds.ts
+++ b/packages/gateway/src/quota/tokenRounds.ts
@@ -40,15 +40,15 @@
   needs: ReadonlyMap<CustomerName, TokenNeed>,
   lenderOf: TokenRoundOptions['lenderOf'],
 ): LenderRequest[] => {
-  const requests = new Map<InstanceId, LenderRequest>();
+  const lenderRequests = new Map<InstanceId, LenderRequest>();
   needs.forEach((need, customer) => {
     const lender = lenderOf(customer);
     if (!lender) return;
-    const all = requests.get(lender.id)?.needs ?? [];
+    const all = lenderRequests.get(lender.id)?.needs ?? [];
     if (all.length < MAX_CUSTOMERS_PER_REQUEST) all.push([customer, need]);
-    requests.set(lender.id, { lender, needs: all });
+    lenderRequests.set(lender.id, { lender, needs: all });
   });
-  return [...requests.values()];
+  return [...lenderRequests.values()];
 };
 
 /** Periodic rounds of token requests. */
@@ -80,13 +80,13 @@
     const { lent } = lender.id === self ? lend(request) : await askPeer(lender, request);
     lent.forEach(receive);
   };
-  const askAll = (requests: readonly LenderRequest[]): void =>
-    requests.forEach((request) => {
-      ask(request).catch((error: Error) => {
-        request.needs.forEach(([customer]) => localQuotas.of(customer)?.unanswered(now()));
+  const askAll = (lenderRequests: readonly LenderRequest[]): void =>
+    lenderRequests.forEach((lenderRequest) => {
+      ask(lenderRequest).catch((error: Error) => {
+        lenderRequest.needs.forEach(([customer]) => localQuotas.of(customer)?.unanswered(now()));
         log.write('quota', undefined, {
           event: 'lender did not answer',
-          peer: request.lender.id,
+          peer: lenderRequest.lender.id,
           reason: error.message,
         });
       });
