--- a/packages/steering/src/placement/__tests__/crossRegionSpillover.test.ts
+++ b/packages/steering/src/placement/__tests__/crossRegionSpillover.test.ts
@@ -27,7 +27,7 @@
   fractions.slice(REQUESTS_PER_WINDOW).map((fraction, i) => Math.abs(fraction - fractions[i]));
 
 describe('cross-region spillover', () => {
-  it('changes by less than the shift cap between consecutive windows, during and after a burst', () => {
+  it('changes by less than the shift limit between consecutive windows, during and after a burst', () => {
     // Guards against a third of a region's requests changing regions within a
     // second: a burst fills all local targets for eight seconds, and each
     // request independently goes wherever there is capacity.
@@ -37,7 +37,7 @@
     expect(fractions.at(-1)).toBe(0);
   });
 
-  it('stays under the shift cap for bursts of any length and spacing', () => {
+  it('stays under the shift limit for bursts of any length and spacing', () => {
     fc.assert(
       fc.property(
         fc.array(fc.integer({ min: 200, max: 6000 }), { minLength: 2, maxLength: 8 }),
--- a/packages/steering/src/placement/advertisedLimit.ts
+++ b/packages/steering/src/placement/advertisedLimit.ts
@@ -62,9 +62,9 @@
    * Returns how long a request has to wait under this instance's share, ms;
    * 0 if it may be sent now.
    */
-  waitMs({ intervalMs, initialDelayFraction: phase }: LimitShare, now: number): number {
+  waitMs({ intervalMs, initialDelayFraction }: LimitShare, now: number): number {
     if (this.current === undefined) return 0;
-    const pauseMs = this.awaitsFirstSend ? intervalMs * phase : intervalMs;
+    const pauseMs = this.awaitsFirstSend ? intervalMs * initialDelayFraction : intervalMs;
     return Math.max(0, this.lastSendAt + pauseMs - now);
   }
 
--- a/packages/steering/src/placement/crossRegionSpillover.ts
+++ b/packages/steering/src/placement/crossRegionSpillover.ts
@@ -2,7 +2,7 @@
  * Limits how fast the fraction of an instance's traffic that spills over to other
  * regions rises and falls. In a burst all targets of a region are full at once.
  * Without a limit, a third of its requests would change regions within a second, and
- * back when the burst ends, but every shift of traffic has to stay under its cap. So
+ * back when the burst ends, but every shift of traffic has to stay under its limit. So
  * the fraction follows demand at a bounded rate, both when it rises and when it falls,
  * and requests spill over according to that fraction.
  */
@@ -10,7 +10,7 @@
 /**
  * Maximum change of the fraction per second. Together with the unramped fraction and
  * the credit accumulated during a pause, the fraction changes by 0.14 within the two
- * seconds for which shifts are capped at 0.15, at 100 requests per second.
+ * seconds for which shifts are limited to 0.15, at 100 requests per second.
  */
 const MAX_CHANGE_PER_SECOND = 0.04;
 /**
--- a/packages/steering/src/placement/limitShare.ts
+++ b/packages/steering/src/placement/limitShare.ts
@@ -68,12 +68,12 @@
   perSecond: number,
 ): LimitShare => {
   const limit = Math.max(perSecond, MIN_PER_SECOND);
-  const sharers = sharerCount(perSecond, size);
+  const sharingCount = sharerCount(perSecond, size);
   const rank = instanceRank(id, self, ids);
-  const hasShare = ids.includes(self) && rank < sharers;
-  const groupSize = hasShare ? sharers : Math.max(1, size - sharers);
+  const hasShare = ids.includes(self) && rank < sharingCount;
+  const groupSize = hasShare ? sharingCount : Math.max(1, size - sharingCount);
   const fraction = hasShare ? 1 : PROBE_FRACTION;
-  const rankInGroup = hasShare ? rank : Math.max(0, rank - sharers);
+  const rankInGroup = hasShare ? rank : Math.max(0, rank - sharingCount);
   return {
     intervalMs: (groupSize / (limit * fraction)) * MS_PER_SECOND,
     initialDelayFraction: Math.min(1, (rankInGroup + 1) / groupSize),
--- a/packages/steering/src/placement/pool.ts
+++ b/packages/steering/src/placement/pool.ts
@@ -62,7 +62,7 @@
  */
 export const pauseMs = (target: TargetState, pool: ServicePool, now: number): number => {
   const { limit, pausedUntil } = target.selfReport;
-  const restMs = Math.max(0, pausedUntil - now);
-  if (limit.perSecond === undefined) return restMs;
-  return Math.max(restMs, limit.waitMs(pool.limitShare(target, limit.perSecond), now));
+  const remainingPauseMs = Math.max(0, pausedUntil - now);
+  if (limit.perSecond === undefined) return remainingPauseMs;
+  return Math.max(remainingPauseMs, limit.waitMs(pool.limitShare(target, limit.perSecond), now));
 };
--- a/packages/steering/src/quarantine/quarantine.ts
+++ b/packages/steering/src/quarantine/quarantine.ts
@@ -31,11 +31,10 @@
 
 /**
  * How long a request is blocked whose crashes another request may explain, ms after
- * the last of them. Until then it is not known which of them is the
- * cause, and letting both through crashes targets faster than they restart. A caller
- * that is blocked wrongly has already failed three times by then. A polling caller
- * misses a few polls; a request released wrongly crashes one or two targets before it
- * is blocked again.
+ * the last of them. Until then it is not known which of them is the cause, and letting
+ * both through crashes targets faster than they restart. A caller that is blocked
+ * wrongly has already failed three times by then. A polling caller misses a few polls;
+ * a request released wrongly crashes one or two targets before it is blocked again.
  */
 const SUSPICION_BLOCK_MS = 120_000;
 
@@ -47,7 +46,7 @@
   callerSuspect(asked),
 ];
 
-/** Returns true if `moment` is defined and not earlier than `place`. */
+/** Returns true if `position` is defined and not earlier than `place`. */
 const isAtOrAfter = (position: StorePosition | undefined, place: StorePosition): boolean =>
   position !== undefined && comparePositions(position, place) >= 0;
 
@@ -110,9 +109,9 @@
   }
 
   /** Stores a report, or a later version of it. */
-  add(key: string, moment: StorePosition, report: CrashReport): void {
+  add(key: string, position: StorePosition, report: CrashReport): void {
     const receivedAt = this.reports.get(key)?.receivedAt ?? this.now();
-    this.reports.set(key, { place: report.place ?? moment, report, receivedAt });
+    this.reports.set(key, { place: report.place ?? position, report, receivedAt });
     this.changed = true;
   }
 
--- a/packages/steering/src/shares.ts
+++ b/packages/steering/src/shares.ts
@@ -50,7 +50,7 @@
  * minute. The result depends only on the document, so an entry that receives
  * the change late or starts during the shift continues from the current point
  * instead of restarting the shift. No entry is ahead of the schedule, so the
- * fleet never exceeds the rate limit, whatever each entry knows of the targets.
+ * fleet never exceeds the shift limit, whatever each entry knows of the targets.
  */
 export const scheduledSplitAt = (
   from: Split,
