--- a/packages/routing/src/__tests__/routing.test.ts
+++ b/packages/routing/src/__tests__/routing.test.ts
@@ -19,7 +19,7 @@
 const limits = { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
 
 describe('route lookup', () => {
-  it('matches the longest path prefix of a host, ignoring port and letter case', () => {
+  it('matches the longest path prefix of a host, ignoring the port and letter case of the host', () => {
     const table = createRouteTable({
       version: configurationVersion(1),
       services: [],
