--- a/packages/customers/src/quota/__tests__/quota.test.ts
+++ b/packages/customers/src/quota/__tests__/quota.test.ts
@@ -276,9 +276,9 @@
         fc.integer({ min: 1, max: 40 }),
         (burst, size) => {
           const guaranteed = { perSecond: burst, burst };
-          const instances = ids.slice(0, size);
-          const shares = instances.map((id) =>
-            guaranteedShare(SIMULATED_CUSTOMER, guaranteed, id, instances, size),
+          const instanceIds = ids.slice(0, size);
+          const shares = instanceIds.map((id) =>
+            guaranteedShare(SIMULATED_CUSTOMER, guaranteed, id, instanceIds, size),
           );
           const total = shares.reduce((sum, share) => sum + share.burst, 0);
           expect(total).toBeLessThanOrEqual(burst * 1.000001);
