--- a/packages/gateway/src/components.ts
+++ b/packages/gateway/src/components.ts
@@ -168,13 +168,13 @@
   const peers = () => [...knownInstances(clusterState, recentPeers).values()];
   let storeReached = false;
   const exchangeReports = reportExchange({ crashReports, storeReached: () => storeReached, log });
-  const askOptions = { peers, self, seeds, ownServingEntry, exchangeReports, log };
+  const queryOptions = { peers, self, seeds, ownServingEntry, exchangeReports, log };
   const follower = follow({
     store,
     clusterState,
     self,
-    queryPeers: createPeerQuery(askOptions),
-    requestSnapshot: createSnapshotQuery(askOptions, Math.random),
+    queryPeers: createPeerQuery(queryOptions),
+    requestSnapshot: createSnapshotQuery(queryOptions, Math.random),
     watchPeer: watchPeer({ ownServingEntry, log }),
     now,
     random: Math.random,
--- a/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
+++ b/packages/gateway/src/peers/__fixtures__/simulatedFleet.ts
@@ -124,7 +124,7 @@
       requestSnapshot: async () => undefined,
       watchPeer: (peer, known, waitMs) =>
         ResultAsync.fromPromise(
-          this.askChanges(member, peer, known, waitMs),
+          this.queryChanges(member, peer, known, waitMs),
           (error) => error as StoreCallError,
         ),
       now,
@@ -203,7 +203,7 @@
     }
   }
 
-  private async askChanges(
+  private async queryChanges(
     from: SimulatedInstance,
     peer: InstanceEntry,
     known: StorePosition,
--- a/packages/gateway/src/peers/__fixtures__/simulatedStore.ts
+++ b/packages/gateway/src/peers/__fixtures__/simulatedStore.ts
@@ -130,7 +130,7 @@
         call(async () => {
           this.calls.list += 1;
           const records = [...this.held.values()].map(({ record }) => record);
-          return { records, ...this.moment };
+          return { records, ...this.position };
         }),
       watch: (after, waitMs) => call(() => this.watch(after, waitMs, isReachable)),
       grantLease: (ttlMs) => call(async () => this.grant(ttlMs)),
@@ -157,7 +157,7 @@
     throw new StoreCallError('unavailable', 'store unreachable');
   }
 
-  private get moment(): StorePosition {
+  private get position(): StorePosition {
     return { epoch: this.epoch, revision: this.revision };
   }
 
@@ -169,7 +169,7 @@
     if (after > this.revision) throw new StoreCallError('history-gone', 'no such revision');
     return {
       changes: this.changes.filter(({ revision }) => revision > after),
-      ...this.moment,
+      ...this.position,
     };
   }
 
@@ -190,7 +190,7 @@
   private register(instance: InstanceEntry, lease: number): StorePosition {
     if (!this.leases.has(lease)) throw new StoreCallError('lease-ended', 'no such lease');
     this.put(`instances/${instance.id}`, { kind: 'instance', instance }, lease);
-    return this.moment;
+    return this.position;
   }
 
   private end(id: number): void {
--- a/packages/gateway/src/peers/__tests__/reportSpread.test.ts
+++ b/packages/gateway/src/peers/__tests__/reportSpread.test.ts
@@ -27,9 +27,9 @@
   self: InstanceEntry;
   quarantine: Quarantine;
   reports: CrashReports;
-  /** By peer: the mark up to which this instance has the peer's reports, and the reverse. */
-  receivedMarks: Map<string, ReportCursor>;
-  sentMarks: Map<string, ReportCursor>;
+  /** By peer: the cursor up to which this instance has the peer's reports, and the reverse. */
+  receivedCursors: Map<string, ReportCursor>;
+  sentCursors: Map<string, ReportCursor>;
   asked: number;
 }
 
@@ -62,19 +62,26 @@
     peerAddress: `i-${number}`,
     region: REGIONS[number % REGIONS.length],
   } as unknown as InstanceEntry;
-  return { self, quarantine, reports, receivedMarks: new Map(), sentMarks: new Map(), asked: 0 };
+  return {
+    self,
+    quarantine,
+    reports,
+    receivedCursors: new Map(),
+    sentCursors: new Map(),
+    asked: 0,
+  };
 };
 
 const exchange = (asker: Member, peer: Member): void => {
   const name = peer.self.peerAddress;
-  const own = asker.reports.after(asker.sentMarks.get(name));
-  const theirs = peer.reports.after(asker.receivedMarks.get(name));
+  const own = asker.reports.after(asker.sentCursors.get(name));
+  const theirs = peer.reports.after(asker.receivedCursors.get(name));
   if (own.reports.length === 0 && theirs.reports.length === 0) return;
   const request = reportsRequest.parse(JSON.parse(JSON.stringify({ reports: own.reports })));
   peer.reports.receive(request.reports, false);
   asker.reports.receive(theirs.reports, false);
-  asker.sentMarks.set(name, own.mark);
-  asker.receivedMarks.set(name, theirs.mark);
+  asker.sentCursors.set(name, own.mark);
+  asker.receivedCursors.set(name, theirs.mark);
   Object.assign(asker, { asked: asker.asked + 1 });
 };
 
--- a/packages/gateway/src/peers/reportExchange.ts
+++ b/packages/gateway/src/peers/reportExchange.ts
@@ -10,9 +10,9 @@
 
 /** Progress of the exchange with one peer. */
 interface ExchangeState {
-  /** Up to which mark the peer has this instance's reports. */
+  /** The cursor up to which the peer has this instance's reports. */
   sentCursor: ReportCursor | undefined;
-  /** Up to which mark this instance has the peer's reports. */
+  /** The cursor up to which this instance has the peer's reports. */
   receivedCursor: ReportCursor | undefined;
 }
 
@@ -24,7 +24,7 @@
   log: DecisionLog;
 }
 
-/** Exchanges reports with the peer at `address`, whose reports go up to the mark `theirs`; never rejects. */
+/** Exchanges reports with the peer at `address`, whose reports go up to the cursor `theirs`; never rejects. */
 export type ReportExchange = (address: string, theirs: ReportCursor) => Promise<void>;
 
 /** Creates the exchange; it sends no request to a peer if neither side has new reports. */
@@ -38,11 +38,11 @@
 
   const exchange = async (
     address: string,
-    { sentCursor: sentMark, receivedCursor: receivedMark }: ExchangeState,
+    { sentCursor, receivedCursor }: ExchangeState,
   ): Promise<void> => {
-    const own = crashReports.after(sentMark);
+    const own = crashReports.after(sentCursor);
     const raw = await peerClient(address, RESPONSE_TIMEOUT_MS).reports.mutate({
-      after: receivedMark,
+      after: receivedCursor,
       reports: own.reports,
     });
     const theirs = reportsResponse.parse(raw);
--- a/packages/gateway/src/peers/router.ts
+++ b/packages/gateway/src/peers/router.ts
@@ -39,7 +39,7 @@
   crashReports: Pick<CrashReports, 'mark' | 'after' | 'receive'>;
   recordPeer: (asker: InstanceEntry) => void;
   /** Lends tokens of the customers for which this instance is the lender. */
-  lend: (question: TokenRequest) => TokenResponse;
+  lend: (request: TokenRequest) => TokenResponse;
   /** Monotonic clock, ms. */
   now: () => number;
 }
@@ -51,7 +51,7 @@
   changes?: RecordChanges;
   /** All records, compressed. */
   packed?: string;
-  /** Mark up to which this instance has crash reports that the store may not have; older versions omit it. */
+  /** Cursor up to which this instance has crash reports that the store may not have; older versions omit it. */
   reports?: ReportCursor;
 }
 
