--- a/packages/gateway/src/requests/requestExecution.ts
+++ b/packages/gateway/src/requests/requestExecution.ts
@@ -69,8 +69,8 @@
     /** The request's span, the parent of the spans of its sends. */
     readonly span: Span,
   ) {
-    const { priorityBaseline: usualPriority } = ctx.registry.forService(request.service);
-    this.urgent = usualPriority.observe(request.priority);
+    const { priorityBaseline } = ctx.registry.forService(request.service);
+    this.urgent = priorityBaseline.observe(request.priority);
   }
 
   /** Sends for which no connection could be established. */
@@ -86,7 +86,7 @@
     return this.cachedRequestDigest;
   }
 
-  /** Digests of the request and its caller; the caller's is computed on first use, as few requests need it. */
+  /** Digests of the request and its caller; the caller's is computed on first use, as it is needed only while a crash is suspected and to log failed sends. */
   get asked(): IssuedRequest {
     this.cachedCallerDigest ??= callerDigestOf(this.request);
     return { request: this.requestDigest, caller: this.cachedCallerDigest };
--- a/packages/gateway/src/requests/retryPolicy.ts
+++ b/packages/gateway/src/requests/retryPolicy.ts
@@ -10,7 +10,7 @@
 import type { AttemptOutcome } from '../targets/attempt';
 import { isFramed } from '../targets/attempt';
 
-/** Responses with this status or a higher one are retried on another target. */
+/** From this status on, a response is an error of the target, so the response of another target may be better. */
 export const FIRST_SERVER_ERROR = 500;
 /** Minimum time left before the deadline for a retry, ms. */
 export const MIN_SEND_TIME_MS = 30;
--- a/packages/gateway/src/requests/send.ts
+++ b/packages/gateway/src/requests/send.ts
@@ -61,9 +61,10 @@
 
 /** Expected maximum duration of a send, ms; Infinity if unknown. */
 const expectedMs = ({ request, ctx }: RequestExecution, likelyCached: boolean): number => {
-  const { peakResponseTimes: longest } = ctx.registry.forService(request.service);
+  const { peakResponseTimes } = ctx.registry.forService(request.service);
   return (
-    overdueAfterMs(longest[likelyCached ? 'cached' : 'uncached'].estimateAt(ctx.now())) ?? Infinity
+    overdueAfterMs(peakResponseTimes[likelyCached ? 'cached' : 'uncached'].estimateAt(ctx.now())) ??
+    Infinity
   );
 };
 
@@ -107,8 +108,8 @@
     const tookMs = ctx.now() - sentAt;
     recordOutcome(placed, result, tookMs, { ...sent, silent }, ctx.now());
     if (result.kind === 'answer') {
-      const { peakResponseTimes: longest } = ctx.registry.forService(request.service);
-      longest[likelyCached ? 'cached' : 'uncached'].record(tookMs, ctx.now());
+      const { peakResponseTimes } = ctx.registry.forService(request.service);
+      peakResponseTimes[likelyCached ? 'cached' : 'uncached'].record(tookMs, ctx.now());
     }
     if (result.kind === 'not-run' && !likelyCached) placed.cachedObjects.delete(request.key);
     span.end();
--- a/packages/gateway/src/requests/serve.ts
+++ b/packages/gateway/src/requests/serve.ts
@@ -89,12 +89,12 @@
 ): Promise<ReachableTarget | undefined> => {
   const { request, ctx } = execution;
   if (!isIdempotent(request.route.kind) || !execution.maySendMore) return undefined;
-  const { peakResponseTimes: longest } = ctx.registry.forService(request.service);
+  const { peakResponseTimes } = ctx.registry.forService(request.service);
   const now = ctx.now();
   const cold = placed.coldUntil > now;
   const waitMs = retryTimeoutMs(request.deadlineAt - now, {
-    send: longest[send.likelyCached && !cold ? 'cached' : 'uncached'].estimateAt(now),
-    retry: longest.uncached.estimateAt(now),
+    send: peakResponseTimes[send.likelyCached && !cold ? 'cached' : 'uncached'].estimateAt(now),
+    retry: peakResponseTimes.uncached.estimateAt(now),
   });
   if (waitMs === undefined) return undefined;
   let timer: NodeJS.Timeout | undefined;
--- a/packages/gateway/src/requests/targetHealth.ts
+++ b/packages/gateway/src/requests/targetHealth.ts
@@ -15,7 +15,7 @@
 /** Backoff if another target responded at the address, ms: this one is gone for good, and its entry is removed within seconds. */
 const WRONG_TARGET_BACKOFF_MS = 60_000;
 /** How long a target is considered full after a refusal without a load report, ms. */
-const REJECTION_BACKOFF_MS = 150;
+const REFUSAL_BACKOFF_MS = 150;
 
 /** State of the target when a request was sent. */
 export interface SendState {
@@ -48,7 +48,7 @@
     target.failures += 1;
     backOff(target, now);
   } else if (!outcome.load) {
-    target.avoidUntil = Math.max(target.avoidUntil, now + REJECTION_BACKOFF_MS);
+    target.avoidUntil = Math.max(target.avoidUntil, now + REFUSAL_BACKOFF_MS);
   }
 };
 
