--- a/packages/gateway/src/targets/__tests__/registry.test.ts
+++ b/packages/gateway/src/targets/__tests__/registry.test.ts
@@ -64,7 +64,7 @@
     revision += 1;
     clusterState.applyChange({ key: `t/${ID}`, revision, removed: true });
   };
-  return { registry, put, spoil: invalidate, remove };
+  return { registry, put, invalidate, remove };
 };
 
 describe('a target that restarts with the same id', () => {
@@ -180,11 +180,11 @@
 });
 
 describe('an invalid entry', () => {
-  it('removes the target that was stored under its key', () => {
-    const { registry, put, spoil } = setUp();
+  it('adds no target and removes the one that was stored under its key', () => {
+    const { registry, put, invalidate } = setUp();
     put(entryOf());
     expect(registry.size).toBe(1);
-    spoil();
+    invalidate();
     expect(registry.size).toBe(0);
     put(entryOf({ writes: 6 }));
     expect(registry.size).toBe(1);
--- a/packages/gateway/src/targets/__tests__/shareCache.test.ts
+++ b/packages/gateway/src/targets/__tests__/shareCache.test.ts
@@ -46,7 +46,7 @@
   const advanceClock = (ms: number) => {
     at += ms;
   };
-  return { shares, expected, join, leave, pass: advanceClock, members };
+  return { shares, expected, join, leave, advanceClock, members };
 };
 
 describe('the share of a cold target', () => {
@@ -54,7 +54,7 @@
     // Failure: a cold target crashed although each instance stayed within its
     // share. The fleet had grown, but the share cached before was still used; any
     // change of the fleet must invalidate it.
-    const { shares, expected, join, leave, pass, members } = setUp(2);
+    const { shares, expected, join, leave, advanceClock, members } = setUp(2);
     const expectCurrentShare = () => expect(shares.get(TARGET, ALLOWANCE)).toBe(expected());
     expectCurrentShare();
     join(2);
@@ -63,7 +63,7 @@
     leave(3);
     expectCurrentShare();
     expect(members.size()).toBe(10);
-    pass(31_000);
+    advanceClock(31_000);
     expectCurrentShare();
     expect(members.size()).toBe(3);
     expect(shares.get(TARGET, 2 * ALLOWANCE)).toBe(
--- a/packages/gateway/src/targets/attempt.ts
+++ b/packages/gateway/src/targets/attempt.ts
@@ -30,7 +30,7 @@
   connections: TargetConnections;
   wire: WireProtocol;
   /** Called with the target's statement as soon as the headers of its response arrive, whether or not the response is accepted. */
-  onStatement: (statement: TargetStatement, response: ResponseSource) => void;
+  onStatement: (statement: TargetStatement, source: ResponseSource) => void;
 }
 
 /** Reason why a request is known not to have run. */
--- a/packages/gateway/src/targets/connections.ts
+++ b/packages/gateway/src/targets/connections.ts
@@ -105,7 +105,7 @@
       this.idleLimit.recordReset(reuse.idleMs, now);
   }
 
-  /** Closes connections idle for longer than `ms`. */
+  /** Closes connections idle for longer than `ms`, so that the next request uses a more recent one. */
   closeIdleLongerThan(ms: number): void {
     const limit = this.now() - ms;
     Object.values(this.freeSockets).forEach((sockets) =>
--- a/packages/gateway/src/targets/recentlyRemovedTargets.ts
+++ b/packages/gateway/src/targets/recentlyRemovedTargets.ts
@@ -35,9 +35,9 @@
 
   /** Removes and returns the target's self-report, unless the entry belongs to a later run. */
   take(entry: TargetEntry): SelfReport | undefined {
-    const expired = this.targets.get(entry.id);
+    const removed = this.targets.get(entry.id);
     this.targets.delete(entry.id);
-    if (!expired || compareRuns(expired.entry, entry) === 'later') return undefined;
-    return expired.selfReport;
+    if (!removed || compareRuns(removed.entry, entry) === 'later') return undefined;
+    return removed.selfReport;
   }
 }
--- a/packages/gateway/src/targets/registry.ts
+++ b/packages/gateway/src/targets/registry.ts
@@ -95,7 +95,7 @@
 
   private readonly limitShares: ShareCache<SharingInstances, LimitShare>;
 
-  private readonly expiredTargets: RecentlyRemovedTargets;
+  private readonly recentlyRemoved: RecentlyRemovedTargets;
 
   private readonly demand: ReadonlyMap<RegionName, number>;
 
@@ -104,7 +104,7 @@
 
   constructor(private readonly options: TargetRegistryOptions) {
     this.demand = demandByRegion(options.regionByDomain);
-    this.expiredTargets = new RecentlyRemovedTargets(options.now);
+    this.recentlyRemoved = new RecentlyRemovedTargets(options.now);
     this.coldShares = new ShareCache(
       () => options.fleet.list(),
       (id, fleet, allowance) => coldShare(id, options.self, fleet, allowance),
@@ -120,7 +120,7 @@
   forService(service: ServiceName): ServiceTargets {
     const existing = this.pools.get(service);
     if (existing) return existing;
-    const { clusterState, regionByDomain: domains, ownDomain, ownRegion } = this.options;
+    const { clusterState, regionByDomain, ownDomain, ownRegion } = this.options;
     const created: ServiceTargets = {
       rankings: new Rankings(),
       idleLimit: new IdleLimit(),
@@ -133,7 +133,7 @@
         ownRegion,
         ownDomain,
         demand: this.demand,
-        domainDemand: demandByDomain(domains, ownRegion),
+        domainDemand: demandByDomain(regionByDomain, ownRegion),
         spillover: new CrossRegionSpillover(),
         evacuated: (failureDomain) => clusterState.evacuated.has(failureDomain),
         coldShare: (target) => this.coldShareOf(target),
@@ -178,7 +178,7 @@
 
   private applyChange(change: ClusterStateChange): void {
     if (change.kind === 'target') this.applyEntry(change.target);
-    if (change.kind === 'target-gone') this.expire(change.id);
+    if (change.kind === 'target-gone') this.removeEntry(change.id);
     if (change.kind === 'configuration') this.applyServices(change.configuration);
     if (change.kind === 'evacuation') {
       this.pools.forEach(({ pool }) => Object.assign(pool, { generation: pool.generation + 1 }));
@@ -239,8 +239,8 @@
       },
       this.forService(entry.service).reportStaleness,
     );
-    const expired = this.expiredTargets.take(entry);
-    if (expired) placed.selfReport = expired;
+    const removed = this.recentlyRemoved.take(entry);
+    if (removed) placed.selfReport = removed;
     const target: ReachableTarget = {
       placed,
       entry,
@@ -252,13 +252,13 @@
     return target;
   }
 
-  private expire(id: TargetId): void {
+  private removeEntry(id: TargetId): void {
     const target = this.targets.get(id);
     if (target) {
       const { entry, placed } = target;
       // A store restored from an older copy may bring back an entry from before the target was leaving.
       if (entry.leaving) placed.selfReport.leaving = true;
-      this.expiredTargets.add(entry, placed.selfReport);
+      this.recentlyRemoved.add(entry, placed.selfReport);
     }
     this.remove(id);
   }
--- a/packages/gateway/src/wireProtocol.ts
+++ b/packages/gateway/src/wireProtocol.ts
@@ -40,7 +40,7 @@
   /** Requests per second that it accepts from all instances together; unset if it advertises no limit. */
   limitPerSecond?: number;
   leaving?: boolean;
-  /** For how long this instance should send it no requests, in ms; only present in rejections. */
+  /** For how long this instance should send it no requests, in ms; only present in refusals. */
   restMs?: number;
 }
 
