--- a/packages/gateway/src/server/__tests__/directory.test.ts
+++ b/packages/gateway/src/server/__tests__/directory.test.ts
@@ -46,7 +46,7 @@
   it('are compared only within the selected group, not with high-capacity instances of other failure domains', () => {
     const here = [machine('a', 0.27, 10), machine('b', 0.27, 10)];
     const elsewhere = [machine('c', 1.35, 200, 'north-b'), machine('d', 1.35, 200, 'north-b')];
-    const question = { region: 'north', failureDomain: 'north-a' };
-    expect(nearestInstances([...here, ...elsewhere], question)).toEqual(['a:1', 'b:1']);
+    const query = { region: 'north', failureDomain: 'north-a' };
+    expect(nearestInstances([...here, ...elsewhere], query)).toEqual(['a:1', 'b:1']);
   });
 });
--- a/packages/gateway/src/server/callerServer.ts
+++ b/packages/gateway/src/server/callerServer.ts
@@ -28,7 +28,7 @@
 import { CREDENTIALS_HEADER } from '../wireProtocol';
 import { admit } from './admit';
 import { CallerConnections } from './callerConnections';
-import { countCustomerRequest, createRejections } from './refusals';
+import { countCustomerRequest, createRejections } from './rejections';
 
 const spans = tracer('gateway');
 
@@ -71,12 +71,12 @@
   const { clusterState, phase, wire, quotas, metrics, log, now } = options;
   const connections = new CallerConnections();
   const split = createTrafficSplit();
-  const waitedBefore = new PriorWaitEstimator();
+  const priorWait = new PriorWaitEstimator();
   let routes: RouteTable | undefined;
   let customerLookup: CustomerTable | undefined;
   let limits: CallerLimits | undefined;
 
-  const refuse = createRejections(options);
+  const reject = createRejections(options);
   const identifyCaller = (req: IncomingMessage, route: Route): Identity => {
     if (!customerLookup) return { kind: 'anonymous' };
     const credentials = wire.parseCredentials(headerValues(req, CREDENTIALS_HEADER));
@@ -109,11 +109,11 @@
   ): Promise<void> => {
     const id = requestIdOf(req, wire.headers);
     if (!id) {
-      refuse.malformed(res, undefined, 'the request names no id; send one with each attempt');
+      reject.malformed(res, undefined, 'the request names no id; send one with each attempt');
       return;
     }
     if (limits && headBytes(req) > limits.headerBytes) {
-      refuse.malformed(res, id, `the request head is over ${limits.headerBytes} bytes; send less`);
+      reject.malformed(res, id, `the request head is over ${limits.headerBytes} bytes; send less`);
       return;
     }
     const body = await readBodyIfPresent(req, limits?.bodyBytes ?? MAX_HEAD_BYTES);
@@ -127,7 +127,7 @@
     }
     const homeRegions = intersectHomeRegions(route.homeRegions, customer?.homeRegions ?? []);
     if (homeRegions === 'nowhere') {
-      refuse.notRun(
+      reject.notRun(
         res,
         'the route and the customer have no home region in common',
         NO_REGION_RETRY_MS,
@@ -137,7 +137,7 @@
     const admission = customer && (await admit(quotas, customer, res));
     if (admission?.kind === 'left') return;
     if (customer && admission?.kind === 'over-limit') {
-      refuse.overLimit(res, id, customer, admission.retryAfterMs);
+      reject.overLimit(res, id, customer, admission.retryAfterMs);
       return;
     }
     const waitMs = requestedTimeoutMs(req, wire.headers);
@@ -157,7 +157,7 @@
       body,
       arrivedAt,
       deadlineAt: deadlineOf(route, waitMs, arrivedAt),
-      waitedBeforeMs: waitMs === undefined ? 0 : waitedBefore.estimate(route.name, waitMs),
+      waitedBeforeMs: waitMs === undefined ? 0 : priorWait.estimate(route.name, waitMs),
     };
     const span = spans.startSpan('gateway.request', { kind: SpanKind.SERVER });
     const outcome = await serve(request, req, res, options, span);
@@ -170,11 +170,11 @@
   const handle = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const arrivedAt = now();
     if (!routes) {
-      refuse.notRun(res, 'no configuration yet', NO_CONFIGURATION_RETRY_MS);
+      reject.notRun(res, 'no configuration yet', NO_CONFIGURATION_RETRY_MS);
       return;
     }
     if (phase.value === 'refusing') {
-      refuse.notRun(res, 'this instance is stopping', 0);
+      reject.notRun(res, 'this instance is stopping', 0);
       return;
     }
     const route = routes(req.headers.host ?? '', req.url ?? '/');
@@ -187,7 +187,7 @@
     }
     const caller = identifyCaller(req, route);
     if (caller.kind === 'unknown') {
-      refuse.unknownCaller(req, res, route, caller.message);
+      reject.unknownCaller(req, res, route, caller.message);
       return;
     }
     const customer = caller.kind === 'customer' ? caller.customer : undefined;
--- a/packages/gateway/src/server/refusals.ts
+++ b/packages/gateway/src/server/rejections.ts
@@ -10,7 +10,7 @@
 import { requestIdOf } from '../requests/callerRequest';
 import type { WireProtocol } from '../wireProtocol';
 
-/** Dependencies of the refusals. */
+/** Dependencies of the rejections. */
 export interface RejectionOptions {
   clusterState: ClusterState;
   wire: WireProtocol;
@@ -29,7 +29,7 @@
   metrics.customerRequests.inc({ customer: metrics.customerLabel(customer.name), outcome });
 };
 
-/** Creates the refusals of one instance. */
+/** Creates the rejections of one instance. */
 export const createRejections = ({
   clusterState,
   wire,
