--- a/packages/soak/src/__tests__/targetSignals.test.ts
+++ b/packages/soak/src/__tests__/targetSignals.test.ts
@@ -47,7 +47,7 @@
   const simulate = (requests: number, faulty?: string) => {
     const { violations, faultHistory, checker } = setUp();
     if (faulty) faultHistory.begin(faulty, 1000)(1500);
-    checker.recordPause(TARGET, sentRequest('rejected'), 100, 3000);
+    checker.recordPause(TARGET, sentRequest('refused'), 100, 3000);
     for (let i = 0; i < requests; i += 1)
       checker.recordArrival(TARGET, sentRequest(`r-${i}`), 700 + i);
     checker.recordArrival(TARGET, sentRequest('in flight'), 500);
--- a/packages/soak/src/targetSignals.ts
+++ b/packages/soak/src/targetSignals.ts
@@ -14,7 +14,7 @@
   at: number;
 }
 
-/** The interval in which an instance whose request was rejected must pause. */
+/** The interval in which an instance whose request was refused must pause. */
 interface PauseInterval extends Pick<SentRequest, 'instance' | 'incarnation'> {
   from: number;
   to: number;
@@ -95,7 +95,7 @@
     recordFirst(this.leavingSeenAt, request, target, at);
   }
 
-  /** Records that a target rejected a request and asked its instance to pause for `forMs`. */
+  /** Records that a target refused a request and asked its instance to pause for `forMs`. */
   recordPause(
     target: string,
     { instance, incarnation }: SentRequest,
