--- a/packages/soak/src/guarantees.ts
+++ b/packages/soak/src/guarantees.ts
@@ -123,7 +123,7 @@
     this.leavingAt.set(target, at);
   }
 
-  /** Records that the evacuation of a target's failure domain was revoked. */
+  /** Records that the evacuation of a target's failure domain was cancelled. */
   recordRejoin(target: string): void {
     this.leavingAt.delete(target);
   }
