--- a/packages/targets/src/client/forward.ts
+++ b/packages/targets/src/client/forward.ts
@@ -77,7 +77,7 @@
       },
     });
     const onAbort = () => {
-      req.destroy(new Error('caller disconnected'));
+      req.destroy(new Error('caller went away'));
     };
     attempt.signal.addEventListener('abort', onAbort, { once: true });
     const timeoutMs = Math.min(remaining, attempt.attemptTimeoutMs);
@@ -87,7 +87,7 @@
       // attempt gets a working connection.
       finish(
         connected
-          ? { kind: 'unknown', reason: 'no response before timeout' }
+          ? { kind: 'unknown', reason: 'no answer before timeout' }
           : { kind: 'not-run', reason: 'connect-failed' },
       );
       req.destroy(new Error('attempt timed out'));
--- a/packages/targets/src/standin/targetStandin.ts
+++ b/packages/targets/src/standin/targetStandin.ts
@@ -1,9 +1,7 @@
 /**
- * A stand-in for one target of a service: a Node http server with a fixed
- * number of slots and a bounded queue. It models how targets behave: it
- * drains, starts with a cold cache, sheds requests that it cannot queue,
- * honours deadlines and cancellation, and reports its load in every response
- * and on a load endpoint that is stale (or wrong, if that fault is set).
+ * A stand-in for one target of a service: a Node http server with fixed slots and a bounded queue.
+ * It drains, starts with a cold cache, sheds requests that it cannot queue, honours deadlines and
+ * cancellation, and reports load in every response and on an endpoint that is stale or, by fault, wrong.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { once } from 'node:events';
@@ -17,7 +15,6 @@
 
 const log = logger('standin:target');
 
-/** Options of a target stand-in. */
 export interface TargetStandinOptions {
   id: string;
   service: string;
@@ -28,13 +25,11 @@
   queueLimit?: number;
   /** Processing time of one request with a warm cache, in ms. */
   serviceMs: number;
-  /** Size of each response body in bytes; large bodies are streamed in chunks. */
+  /** Size of each response body in bytes; large bodies are streamed in chunks, over `streamMs` as for a large download over a slow link. */
   answerBytes: number;
-  /** Time to stream the response body, in ms, as for a large download over a slow link. */
   streamMs?: number;
-  /** Factor by which a cold cache increases the processing time. */
+  /** Factor by which a cold cache increases the processing time; it decays to 1 with a time constant of `warmRequests` requests served. */
   coldFactor?: number;
-  /** Time constant of the cache warm-up, in requests served. */
   warmRequests?: number;
   /** Interval at which the load endpoint is updated, in ms. */
   lagMs?: number;
@@ -50,7 +45,7 @@
   at: number;
 }
 
-/** A running target stand-in. */
+/** A running target stand-in; `drain` rejects new requests, waits for those in flight and resolves with the drain time in ms, and `stop` then also closes the listener. */
 export interface TargetStandin {
   id: string;
   address: string;
@@ -59,9 +54,7 @@
   faults: TargetFaults;
   stats: { served: number; shed: number; cancelled: number; refusedDraining: number };
   inflight: () => number;
-  /** Rejects new requests, waits for those in flight and resolves with the drain time in ms. */
   drain: () => Promise<number>;
-  /** Drains, then closes the listener. */
   stop: () => Promise<number>;
 }
 
@@ -78,8 +71,7 @@
       clearTimeout(timer);
       resolve(false);
     };
-    // Streaming a response sleeps once per chunk on the same signal. Remove the
-    // listener each time: Node reports a leak from the 11th listener on.
+    // A stream sleeps once per chunk on the same signal; Node reports a leak from the 11th listener on.
     timer = setTimeout(() => {
       signal.removeEventListener('abort', onAbort);
       resolve(true);
@@ -240,8 +232,7 @@
         .catch(() => sendJson(res, 400, { error: 'send a JSON object of faults' }));
       return;
     }
-    // The request body is read before processing starts, so a request rejected
-    // as "not run" has not been processed even in part.
+    // The whole body is read first, so a request rejected as "not run" has not been processed in part.
     req.resume();
     req.on('end', () => {
       serveRequest(req, res).catch((error: Error) => {
