--- a/packages/console/src/apply.ts
+++ b/packages/console/src/apply.ts
@@ -25,7 +25,8 @@
   attempts: number;
 }
 
-const MAX_ATTEMPTS = 5;
+/** Attempts with an unavailable store; conflicts and unknown outcomes are retried without a limit. */
+const MAX_UNAVAILABLE_ATTEMPTS = 5;
 
 const normalizeShares = (shares: Record<string, number>) =>
   normalizeWeights(new Map(Object.entries(shares) as [RegionName, number][]));
@@ -67,7 +68,8 @@
 /**
  * Validates `input` and writes it as the next revision after `input.revision`.
  * Errors: `document-invalid`, `document-stale` (another revision was applied
- * since), `store-unavailable` (still unavailable after retries).
+ * since), `store-unavailable` (still unavailable after retries; nothing was
+ * written, unless the response to an earlier write was lost).
  */
 export const applyDocument = async (
   kv: KvClient,
@@ -84,7 +86,7 @@
   for (let attempt = 1; ; attempt += 1) {
     const readResult = await kv.get(key);
     if (readResult.isErr()) {
-      if (attempt >= MAX_ATTEMPTS) return err(readResult.error);
+      if (attempt >= MAX_UNAVAILABLE_ATTEMPTS) return err(readResult.error);
       await sleep(backoffMs * 2 ** attempt);
       continue;
     }
@@ -114,7 +116,7 @@
       return ok({ revision: baseRevision + 1, storeRevision: putResult.value, attempts: attempt });
     if (putResult.error.kind === 'store-outcome-unknown') continue;
     if (putResult.error.kind === 'store-conflict') continue;
-    if (attempt >= MAX_ATTEMPTS) return err(putResult.error);
+    if (attempt >= MAX_UNAVAILABLE_ATTEMPTS) return err(putResult.error);
     await sleep(backoffMs * 2 ** attempt);
   }
 };
