--- a/packages/entry/src/daemon.ts
+++ b/packages/entry/src/daemon.ts
@@ -2,9 +2,9 @@
  * The entry daemon: one per entry instance, on a single event loop. It
  * registers itself so that callers can find it, watches the operators'
  * document, polls the member list, updates the steering periodically and
- * serves callers. A graceful shutdown removes the registration, rejects new
- * requests as "not run" with `connection: close`, and waits up to `drainGraceMs`
- * for the requests in flight.
+ * serves callers. A graceful shutdown first removes the registration, rejects
+ * new requests as "not run" with `connection: close`, and waits up to
+ * `drainGraceMs` for the requests in flight.
  */
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
--- a/packages/entry/src/state/__tests__/config.test.ts
+++ b/packages/entry/src/state/__tests__/config.test.ts
@@ -10,7 +10,7 @@
   modRevision,
 });
 
-describe('configuration watch', () => {
+describe('watchConfig', () => {
   it('keeps the newer document when an older one arrives later', async () => {
     // After revision 5 was read, a delayed watch response (or an event replayed
     // after a reconnect) delivers revision 3. Applying the latest message instead
@@ -25,11 +25,11 @@
             : { events: [], revision: 21 },
         ),
     } as unknown as KvClient;
-    const follower = watchConfig(kv, 'doc', { waitMs: 10 });
+    const watcher = watchConfig(kv, 'doc', { waitMs: 10 });
     await new Promise((resolve) => {
       setTimeout(resolve, 50);
     });
-    expect(follower.state.value.document?.revision).toBe(5);
-    follower.stop();
+    expect(watcher.state.value.document?.revision).toBe(5);
+    watcher.stop();
   });
 });
--- a/packages/entry/src/state/dedup.ts
+++ b/packages/entry/src/state/dedup.ts
@@ -36,7 +36,7 @@
 
 /** Idempotency keys of one entry, with the state of their requests. */
 export class DedupCache {
-  private readonly slots = new Map<RequestKey, { keyState: KeyState; at: number }>();
+  private readonly keyStates = new Map<RequestKey, { keyState: KeyState; at: number }>();
 
   constructor(
     private readonly limits: DedupLimits = DEFAULT_DEDUP_LIMITS,
@@ -46,35 +46,35 @@
   /** Claims `key` for a new request, or returns the state of the earlier request with it. */
   claim(key: RequestKey): DedupDecision {
     this.evict();
-    const stored = this.slots.get(key);
+    const stored = this.keyStates.get(key);
     if (stored?.keyState.state === 'running') return { kind: 'running' };
     if (stored?.keyState.state === 'done')
       return { kind: 'replay', answer: stored.keyState.answer };
     if (stored?.keyState.state === 'unknown') return { kind: 'unknown' };
-    this.slots.set(key, { keyState: { state: 'running' }, at: this.now() });
+    this.keyStates.set(key, { keyState: { state: 'running' }, at: this.now() });
     return { kind: 'new' };
   }
 
   /** Releases the key of a request that did not run. */
   release(key: RequestKey): void {
-    this.slots.delete(key);
+    this.keyStates.delete(key);
   }
 
   /** Stores the response of a completed request. */
   complete(key: RequestKey, answer: StoredResponse): void {
-    this.slots.set(key, { keyState: { state: 'done', answer }, at: this.now() });
+    this.keyStates.set(key, { keyState: { state: 'done', answer }, at: this.now() });
   }
 
   /** Marks a request that may have run; duplicates are rejected as "unknown" until the key expires. */
   markUnknown(key: RequestKey): void {
-    this.slots.set(key, { keyState: { state: 'unknown' }, at: this.now() });
+    this.keyStates.set(key, { keyState: { state: 'unknown' }, at: this.now() });
   }
 
   private evict(): void {
     const oldest = this.now() - this.limits.ttlMs;
-    for (const [key, stored] of this.slots) {
-      if (stored.at >= oldest && this.slots.size <= this.limits.maxKeys) break;
-      this.slots.delete(key);
+    for (const [key, stored] of this.keyStates) {
+      if (stored.at >= oldest && this.keyStates.size <= this.limits.maxKeys) break;
+      this.keyStates.delete(key);
     }
   }
 }
