--- a/packages/load/src/__tests__/limitedTargets.test.ts
+++ b/packages/load/src/__tests__/limitedTargets.test.ts
@@ -49,7 +49,7 @@
     [1 / 3, 3],
     [1 / 3, 20],
   ])(
-    'the limit is kept and callers earn more credit; %d of the targets limited, %d instances per region',
+    'the limit is kept within its tolerance and callers earn more credit; %d of the targets limited, %d instances per region',
     (share, instances) => {
       // Guards against instances that keep overloading limited targets at the expense of their callers.
       const ignoring = lookups(1, share, instances, false);
--- a/packages/load/src/simulation/eventQueue.ts
+++ b/packages/load/src/simulation/eventQueue.ts
@@ -20,20 +20,20 @@
   /** Schedules `callback` to run after `delayMs` of virtual time. */
   after(delayMs: number, callback: () => void): void {
     this.scheduledCount += 1;
-    const entry = {
+    const event = {
       at: this.now + Math.max(0, delayMs),
       sequenceNumber: this.scheduledCount,
       callback,
     };
-    this.heap.push(entry);
+    this.heap.push(event);
     let i = this.heap.length - 1;
     while (i > 0) {
       const parent = Math.floor((i - 1) / 2);
-      if (!precedes(entry, this.heap[parent])) break;
+      if (!precedes(event, this.heap[parent])) break;
       this.heap[i] = this.heap[parent];
       i = parent;
     }
-    this.heap[i] = entry;
+    this.heap[i] = event;
   }
 
   /** Runs all events up to and including the virtual time `endsAt`, ms. */
@@ -53,7 +53,7 @@
     return first;
   }
 
-  private siftDown(entry: ScheduledEvent): void {
+  private siftDown(event: ScheduledEvent): void {
     let i = 0;
     for (;;) {
       const left = 2 * i + 1;
@@ -61,10 +61,10 @@
       const right = left + 1;
       const child =
         right < this.heap.length && precedes(this.heap[right], this.heap[left]) ? right : left;
-      if (!precedes(this.heap[child], entry)) break;
+      if (!precedes(this.heap[child], event)) break;
       this.heap[i] = this.heap[child];
       i = child;
     }
-    this.heap[i] = entry;
+    this.heap[i] = event;
   }
 }
--- a/packages/load/src/simulation/loadSimulation.ts
+++ b/packages/load/src/simulation/loadSimulation.ts
@@ -83,12 +83,12 @@
 /** Applies the limit and the pause that a target advertises in a response. */
 const applyTargetSignals = (
   { selfReport }: TargetState,
-  heard: LimitObservation,
+  observation: LimitObservation,
   pauseMs: number | undefined,
   now: number,
 ): void => {
-  selfReport.limit.observe(heard, now);
-  if (heard.ran || pauseMs === undefined) return;
+  selfReport.limit.observe(observation, now);
+  if (observation.ran || pauseMs === undefined) return;
   Object.assign(selfReport, { pausedUntil: Math.max(selfReport.pausedUntil, now + pauseMs) });
 };
 
@@ -117,7 +117,7 @@
     Array.from({ length: options.targetsPerRegion[region] }, (_, i) => ({ region, i })),
   );
   const targets = locations.map(() => new SimulatedTarget(options.target, events, random));
-  const facts = locations.map(({ region, i }) => ({
+  const targetInfos = locations.map(({ region, i }) => ({
     id: targetId(`${region}-${i}`),
     service: serviceName('played'),
     address: `${region}-${i}`,
@@ -125,7 +125,7 @@
     region: regionName(region),
     slots: options.target.slots,
   }));
-  const instances = simulatedInstances(facts, regions, options.instancesPerRegion);
+  const instances = simulatedInstances(targetInfos, regions, options.instancesPerRegion);
   const report: LoadSimulationReport = {
     asked: 0,
     withinObjective: 0,
@@ -172,7 +172,7 @@
       return;
     }
     const { target } = outcome;
-    const targetIndex = facts.findIndex((f) => f.id === target.id);
+    const targetIndex = targetInfos.findIndex((f) => f.id === target.id);
     const simulatedTarget = targets[targetIndex];
     const oneWayMs =
       target.region === regionName(instance.region)
--- a/packages/load/src/simulation/simulatedFleet.ts
+++ b/packages/load/src/simulation/simulatedFleet.ts
@@ -17,7 +17,7 @@
 /** A report in the store. */
 interface StoredReport {
   key: string;
-  moment: StorePosition;
+  position: StorePosition;
   report: CrashReport;
   at: number;
 }
@@ -75,12 +75,12 @@
     const lost = this.storedReports.filter(isLost);
     this.storedReports = this.storedReports.filter((each) => !isLost(each));
     this.epoch += 1;
-    lost.forEach(({ key, moment, report }) =>
+    lost.forEach(({ key, position, report }) =>
       this.events.after(this.between(REFILING_MS), () => {
         const isKnown = this.instances.some(
           ({ isolated, quarantine }) => !isolated && quarantine.has(key),
         );
-        if (isKnown) this.store(key, { ...report, place: report.place ?? moment });
+        if (isKnown) this.store(key, { ...report, place: report.place ?? position });
       }),
     );
   }
@@ -101,14 +101,16 @@
   private startInstance(): CrashSimulationInstance {
     const now = () => this.events.now;
     const quarantine = new Quarantine(now);
-    this.storedReports.forEach(({ key, moment, report }) => quarantine.add(key, moment, report));
+    this.storedReports.forEach(({ key, position, report }) =>
+      quarantine.add(key, position, report),
+    );
     const recentAnswers = new RecentAnswers(now);
     return { quarantine, recentAnswers, isolated: false, waiting: [], openReport: undefined };
   }
 
   private catchUp(instance: CrashSimulationInstance): void {
-    this.storedReports.forEach(({ key, moment, report }) =>
-      instance.quarantine.add(key, moment, report),
+    this.storedReports.forEach(({ key, position, report }) =>
+      instance.quarantine.add(key, position, report),
     );
     instance.waiting.splice(0).forEach(([key, report]) => this.store(key, report));
   }
@@ -136,11 +138,11 @@
 
   private store(key: string, report: CrashReport): void {
     if (this.storedReports.some((each) => each.key === key)) return;
-    const moment = this.positionAt(this.storedReports.length + 1);
-    this.storedReports.push({ key, moment, report, at: this.events.now });
+    const position = this.positionAt(this.storedReports.length + 1);
+    this.storedReports.push({ key, position, report, at: this.events.now });
     this.instances.forEach((instance) =>
       this.events.after(this.between(PROPAGATION_MS), () => {
-        if (!instance.isolated) instance.quarantine.add(key, moment, report);
+        if (!instance.isolated) instance.quarantine.add(key, position, report);
       }),
     );
   }
--- a/packages/load/src/simulation/simulatedInstances.ts
+++ b/packages/load/src/simulation/simulatedInstances.ts
@@ -20,14 +20,14 @@
 }
 
 /** Creates one instance's view of all targets. */
-const targetViews = (facts: readonly TargetInfo[]): TargetState[] => {
-  const fade = new ReportStaleness(() => facts.length);
-  return facts.map((each) => newTarget(each, fade));
+const targetViews = (targetInfos: readonly TargetInfo[]): TargetState[] => {
+  const staleness = new ReportStaleness(() => targetInfos.length);
+  return targetInfos.map((each) => newTarget(each, staleness));
 };
 
 /** Creates the instances of all regions; each region is one failure domain. */
 export const simulatedInstances = (
-  facts: readonly TargetInfo[],
+  targetInfos: readonly TargetInfo[],
   regions: readonly string[],
   perRegion = DEFAULT_INSTANCES,
 ): SimulatedInstance[] => {
@@ -44,7 +44,7 @@
     rankings: new Rankings(),
     longestAnswers: { remembered: new PeakResponseTime(), first: new PeakResponseTime() },
     pool: {
-      targets: targetViews(facts),
+      targets: targetViews(targetInfos),
       generation: 1,
       ownRegion: regionName(region),
       ownDomain: failureDomainName(region),
