--- a/packages/bench/src/customers.ts
+++ b/packages/bench/src/customers.ts
@@ -22,20 +22,20 @@
   const self = instanceId('i-1');
   const sharers = { ids: [self], size: 1 };
   let now = 0;
-  const allowances = new LocalQuotas({
+  const quotas = new LocalQuotas({
     self,
     tolerance: { windowMs: 5000, overage: 0.1, slack: 20 },
     sharers: () => sharers,
     startedAt: 0,
     now: () => now,
   });
-  allowances.configure(customers);
+  quotas.configure(customers);
   const before = process.cpuUsage();
   for (let i = 0; i < REQUESTS; i += 1) {
     now = i / REQUESTS_PER_MS;
     const { keys: customerKeys, name } = customers[(i * 7919) % customers.length];
     identify(table, { kind: 'key', key: customerKeys[i % KEYS_PER_CUSTOMER] }, false);
-    allowances.of(name)?.take(now);
+    quotas.of(name)?.take(now);
   }
   const { user, system } = process.cpuUsage(before);
   return (user + system) / REQUESTS;
--- a/packages/cli/src/__tests__/config.test.ts
+++ b/packages/cli/src/__tests__/config.test.ts
@@ -37,7 +37,7 @@
   north: number;
 }
 interface Real {
-  followers: { seen: number[]; state: () => ConfigState }[];
+  watchers: { seen: number[]; state: () => ConfigState }[];
 }
 
 class Apply implements fc.AsyncCommand<Model, Real> {
@@ -82,7 +82,7 @@
 
   async run(model: Model, real: Real): Promise<void> {
     await sleep(this.ms);
-    real.followers.forEach((f) => {
+    real.watchers.forEach((f) => {
       expect(f.state().document?.revision ?? 0).toBeLessThanOrEqual(model.accepted);
     });
   }
@@ -91,7 +91,7 @@
 }
 
 describe('configuration propagation', () => {
-  it('never reverts and reaches every follower once the store is available again', async () => {
+  it('never reverts and reaches every watcher once the store is available again', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.commands(
@@ -109,29 +109,29 @@
         async (commands) => {
           Object.assign(platform.kv.faults, { down: false, delayMs: 0, loseReplies: 0 });
           await kv.delete(KEY);
-          const followers = [0, 1, 2].map(() => {
+          const watchers = [0, 1, 2].map(() => {
             const f = watchConfig(kv, KEY, { waitMs: 1000 });
             const seen: number[] = [];
             f.state.subscribe((s) => seen.push(s.document?.revision ?? 0));
-            return { follower: f, seen, state: () => f.state.value };
+            return { watcher: f, seen, state: () => f.state.value };
           });
           const model: Model = { accepted: 0, north: 1 };
           try {
-            await fc.asyncModelRun(() => ({ model, real: { followers } }), commands);
+            await fc.asyncModelRun(() => ({ model, real: { watchers } }), commands);
             Object.assign(platform.kv.faults, { down: false, delayMs: 0, loseReplies: 0 });
             const started = Date.now();
             while (
-              followers.some((f) => (f.state().document?.revision ?? 0) !== model.accepted) &&
+              watchers.some((f) => (f.state().document?.revision ?? 0) !== model.accepted) &&
               Date.now() - started < 12_000
             ) {
               await sleep(20);
             }
-            followers.forEach((f) => {
+            watchers.forEach((f) => {
               expect(f.state().document?.revision ?? 0).toBe(model.accepted);
               expect(f.seen).toEqual([...f.seen].sort((a, b) => a - b));
             });
           } finally {
-            followers.forEach((f) => f.follower.stop());
+            watchers.forEach((f) => f.watcher.stop());
           }
         },
       ),
--- a/packages/document/src/layouts.ts
+++ b/packages/document/src/layouts.ts
@@ -5,7 +5,7 @@
  */
 import type { DocumentInput } from './schema';
 
-/** A deployed service: its number of targets, slots per target and typical behavior. */
+/** A deployed service: its number of targets, slots per target and typical behaviour. */
 export interface ServiceLayout {
   name: string;
   idempotent: boolean;
