--- a/packages/platform-kv/src/client/watch.ts
+++ b/packages/platform-kv/src/client/watch.ts
@@ -39,7 +39,7 @@
     const random = options.random ?? Math.random;
     let stopped = false;
     let revision = -1;
-    let backoffMs = baseBackoffMs;
+    let currentBackoffMs = baseBackoffMs;
     let timer: NodeJS.Timeout | undefined;
 
     const schedulePoll = (ms: number) => {
@@ -48,8 +48,8 @@
 
     const handleFailure = (f: Failure) => {
       subscriber.next({ kind: 'down', failure: f });
-      schedulePoll(backoffMs / 2 + random() * backoffMs);
-      backoffMs = Math.min(backoffMs * 2, maxBackoffMs);
+      schedulePoll(currentBackoffMs / 2 + random() * currentBackoffMs);
+      currentBackoffMs = Math.min(currentBackoffMs * 2, maxBackoffMs);
     };
 
     function poll(): void {
@@ -58,7 +58,7 @@
         client.list(prefix).match(
           (reply) => {
             if (stopped) return;
-            backoffMs = baseBackoffMs;
+            currentBackoffMs = baseBackoffMs;
             revision = reply.revision;
             subscriber.next({ kind: 'items', items: reply.items, revision });
             schedulePoll(0);
@@ -70,7 +70,7 @@
       client.watchOnce(prefix, revision, waitMs).match(
         (reply) => {
           if (stopped) return;
-          backoffMs = baseBackoffMs;
+          currentBackoffMs = baseBackoffMs;
           // An earlier revision means that the store was restored from an older copy.
           if (reply.compacted || reply.revision < revision) {
             revision = -1;
