--- a/packages/document/src/layouts.ts
+++ b/packages/document/src/layouts.ts
@@ -1,7 +1,7 @@
 /**
  * Two reference deployments at their current sizes: regions, failure domains,
  * services and their targets. The demo, the benchmarks and the tests create
- * simulated targets and operators' documents from them.
+ * target stand-ins and operators' documents from them.
  */
 import type { DocumentInput } from './schema';
 
--- a/packages/member-list/src/protocol.ts
+++ b/packages/member-list/src/protocol.ts
@@ -22,9 +22,9 @@
 
 /**
  * Response to `GET /v1/members`: the list as of `asOf` (ms since epoch) and
- * its `version`. With `?since=<version>`, the response to an unchanged list is
- * `{ unchanged: true, version, members: [], asOf }`, so that a poll transfers
- * a few bytes instead of the whole list.
+ * its `version`. With `?since=<version>`, if the list is still at that version,
+ * the response is `{ unchanged: true, version, members: [], asOf }`, so that a
+ * poll transfers a few bytes instead of the whole list.
  */
 export interface MembersReply {
   version: number;
