--- a/packages/document/src/layouts.ts
+++ b/packages/document/src/layouts.ts
@@ -1,11 +1,11 @@
 /**
  * Two reference deployments at their current sizes: regions, failure domains,
  * services and their targets. The demo, the benchmarks and the tests create
- * simulated targets and operators' documents from them.
+ * target stand-ins and operators' documents from them.
  */
 import type { DocumentInput } from './schema';
 
-/** A deployed service: its number of targets, slots per target and typical behavior. */
+/** A deployed service: its number of targets, slots per target and typical behaviour. */
 export interface ServiceLayout {
   name: string;
   idempotent: boolean;
