--- a/packages/cli/src/__tests__/unresponsiveTargets.test.ts
+++ b/packages/cli/src/__tests__/unresponsiveTargets.test.ts
@@ -16,8 +16,8 @@
     const [silent] = cluster().targets.get('lookup') ?? [];
     silent.faults.silent = true;
     const started = performance.now();
-    // Each region has one target with four slots, and the region is chosen at
-    // random: with more than four concurrent lookups, one region could be chosen
+    // Each region has one target with four slots, and the region is drawn at
+    // random: with more than four concurrent lookups, one region could be drawn
     // too often and reject some for lack of capacity, which is not tested here.
     const sendLookups = () =>
       Promise.all(
